--- a/crates/relay/src/body.rs
+++ b/crates/relay/src/body.rs
@@ -18,9 +18,9 @@
 const EVENTS: usize = 16;
 
 /// A response body.
-pub enum Answer {
+pub enum ResponseBody {
     /// Buffered.
-    Whole(Option<Bytes>),
+    Buffered(Option<Bytes>),
     /// Streamed.
     Stream(Stream),
 }
@@ -59,7 +59,7 @@
 }
 
 /// A body filled by `fill` while it is being read.
-pub fn stream<F, W>(fill: F) -> Answer
+pub fn stream<F, W>(fill: F) -> ResponseBody
 where
     F: FnOnce(Feed) -> W,
     W: Future<Output = ()> + 'static,
@@ -68,7 +68,7 @@
     let state = Rc::new(Cell::new(false));
     let feed = Feed { events: sender, complete: state.clone() };
     let task = tokio::task::spawn_local(fill(feed)).abort_handle();
-    Answer::Stream(Stream { events, ended: false, task, state })
+    ResponseBody::Stream(Stream { events, ended: false, task, state })
 }
 
 impl Feed {
@@ -83,20 +83,20 @@
     }
 }
 
-impl Answer {
+impl ResponseBody {
     /// Empty body.
-    pub fn empty() -> Answer {
-        Answer::Whole(None)
+    pub fn empty() -> ResponseBody {
+        ResponseBody::Buffered(None)
     }
 }
 
-impl From<Bytes> for Answer {
-    fn from(bytes: Bytes) -> Answer {
-        Answer::Whole((!bytes.is_empty()).then_some(bytes))
+impl From<Bytes> for ResponseBody {
+    fn from(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Buffered((!bytes.is_empty()).then_some(bytes))
     }
 }
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Aborted;
 
@@ -105,24 +105,24 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut *self {
-            Answer::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Answer::Stream(stream) => stream.poll(context),
+            ResponseBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            ResponseBody::Stream(stream) => stream.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Answer::Whole(bytes) => bytes.is_none(),
-            Answer::Stream(stream) => stream.ended,
+            ResponseBody::Buffered(bytes) => bytes.is_none(),
+            ResponseBody::Stream(stream) => stream.ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Answer::Whole(bytes) => {
+            ResponseBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Answer::Stream(_) => SizeHint::default(),
+            ResponseBody::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -72,8 +72,8 @@
     }
 
     /// Counts a request.
-    pub fn request(&self, service: &str) {
-        self.with(service, |budget| budget.request(Instant::now()));
+    pub fn count_request(&self, service: &str) {
+        self.with(service, |budget| budget.count_request(Instant::now()));
     }
 
     /// Takes one retry as one of `nodes` nodes; false if the budget is exhausted.
@@ -123,7 +123,7 @@
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Instant) {
+    pub fn count_request(&mut self, now: Instant) {
         self.part(now).requests += 1;
     }
 
--- a/crates/relay/src/control/catalog.rs
+++ b/crates/relay/src/control/catalog.rs
@@ -29,7 +29,7 @@
         if self.row.as_ref().is_some_and(|(held, _)| row.revision <= *held) {
             return;
         }
-        match self.records.catalog(value) {
+        match self.records.parse_catalog(value) {
             Ok(catalog) if self.is_newer(&catalog) => {
                 log::info!(version = catalog.version, revision = row.revision;
                     "{IN_FORCE}");
--- a/crates/relay/src/control/registry.rs
+++ b/crates/relay/src/control/registry.rs
@@ -123,7 +123,7 @@
 
     fn take<R: Records>(&mut self, now: Instant, row: &Row, grace: Duration, records: &R) {
         let Some(value) = &row.value else { return self.remove(now, &row.key, grace) };
-        match records.registration(&row.key, value) {
+        match records.parse_registration(&row.key, value) {
             Ok(registration) => self.register(registration),
             Err(error) => {
                 // Not written by a runner.
--- a/crates/relay/src/control/rollouts.rs
+++ b/crates/relay/src/control/rollouts.rs
@@ -54,7 +54,7 @@
     /// Applies a rollout order.
     pub(super) fn apply_rollout_order(&mut self, row: &Row) {
         let Some(value) = &row.value else { return };
-        match self.records.order(&row.key, value) {
+        match self.records.parse_order(&row.key, value) {
             Some(Ok(order)) => self.rollouts.order(Instant::now(), row.revision, order),
             Some(Err(error)) => {
                 log::warn!(key = row.key.as_str(); "invalid rollout order: {error}");
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -10,24 +10,24 @@
 /// Encodes and decodes message heads.
 pub trait Dialect: Clone + 'static {
     /// Decodes a request head.
-    fn head(&self, parts: &request::Parts) -> Result<Head, Malformed>;
+    fn parse_request(&self, parts: &request::Parts) -> Result<Head, Malformed>;
 
     /// Headers of a request to a runner.
-    fn send(&self, call: &Call, options: &SendOptions) -> HeaderMap;
+    fn request_headers(&self, call: &Call, options: &SendOptions) -> HeaderMap;
 
     /// Decodes a response head.
-    fn answer(&self, parts: &response::Parts) -> Answer;
+    fn parse_response(&self, parts: &response::Parts) -> ResponseHead;
 
     /// Whether the headers carry a runner's signature.
     fn is_signed(&self, headers: &HeaderMap) -> bool;
 
     /// Headers of a rejection by this node.
-    fn refusal(&self, id: Option<&str>, retry: Option<Duration>) -> HeaderMap;
+    fn rejection_headers(&self, id: Option<&str>, retry: Option<Duration>) -> HeaderMap;
 
     /// Decodes a query about this node; `query` is empty if absent.
-    fn question(&self, path: &str, query: &str) -> Option<Question>;
+    fn parse_query(&self, path: &str, query: &str) -> Option<Query>;
 
-    /// Content type and body of the response to [`Question::Addresses`].
+    /// Content type and body of the response to [`Query::Addresses`].
     fn addresses(&self, nodes: &[SocketAddr], ttl: Duration) -> (&'static str, Vec<u8>);
 
     /// Path of a runner's load report.
@@ -104,15 +104,15 @@
 
 /// Decoded response head.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct ResponseHead {
     /// Attempt id.
     pub id: Option<CompactString>,
     /// Whether it carries a runner's signature.
     pub signed: bool,
     /// Whether the request was not run and never will be.
-    pub unrun: bool,
+    pub not_run: bool,
     /// Whether the address belongs to another runner now.
-    pub moved: bool,
+    pub misdirected: bool,
     /// Id of the responding runner, if stated.
     pub runner: Option<CompactString>,
     /// Idle timeout of the connection.
@@ -149,16 +149,16 @@
 
 /// A query about this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum Query {
     /// Readiness.
     Ready,
     /// Addresses of ready nodes; holds the caller's failure domain.
     Addresses(CompactString),
 }
 
-impl Answer {
+impl ResponseHead {
     /// Whether the response belongs to request `id`.
-    pub fn fits(&self, id: &str) -> bool {
+    pub fn is_for(&self, id: &str) -> bool {
         self.id.as_deref() == Some(id)
     }
 }
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -163,12 +163,12 @@
     }
 
     /// Takes an idle connection to a runner.
-    pub fn idle(&self, key: RunnerKey, now: Instant) -> Option<Connection> {
+    pub fn take_idle_connection(&self, key: RunnerKey, now: Instant) -> Option<Connection> {
         self.inner.borrow_mut().runners.get_mut(key)?.pool.take(now)
     }
 
     /// Returns a connection to the runner's pool.
-    pub fn keep(&self, key: RunnerKey, line: Connection, limit: Option<Duration>) {
+    pub fn return_connection(&self, key: RunnerKey, line: Connection, limit: Option<Duration>) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
             runner.pool.put(Instant::now(), line, limit);
         }
@@ -183,7 +183,7 @@
     }
 
     /// The runner that currently owns this endpoint's address, in any incarnation.
-    pub fn at(&self, endpoint: &Endpoint) -> Option<Endpoint> {
+    pub fn find_by_address(&self, endpoint: &Endpoint) -> Option<Endpoint> {
         let inner = self.inner.borrow();
         if inner.runners.contains_key(endpoint.key) {
             return Some(endpoint.clone());
@@ -206,7 +206,7 @@
     }
 
     /// Records a response from a runner.
-    pub fn alive(&self, key: RunnerKey, now: Instant) {
+    pub fn record_response(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
             runner.health.alive(now);
         }
@@ -218,8 +218,8 @@
     }
 
     /// Records a connection error or a timeout.
-    pub fn failed(&self, key: RunnerKey, now: Instant) {
-        self.inner.borrow_mut().failed(key, now);
+    pub fn record_failure(&self, key: RunnerKey, now: Instant) {
+        self.inner.borrow_mut().record_failure(key, now);
         self.changed.notify_one();
         self.lost.notify_waiters();
     }
@@ -227,7 +227,7 @@
     /// Records that another runner, or another incarnation, responded at the runner's address. This
     /// is not reported to peers and makes no other runner suspect: after an outage of a domain it
     /// shows that the domain is back.
-    pub fn replaced(&self, key: RunnerKey, now: Instant) {
+    pub fn record_replacement(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
             runner.health.failed(now);
             runner.pool.clear();
@@ -254,13 +254,13 @@
     }
 
     /// Records that another incarnation responds at a runner's address.
-    pub fn restarted(&self, restart: Restart) {
+    pub fn record_restart(&self, restart: Restart) {
         self.inner.borrow_mut().restarts.push(restart);
         self.changed.notify_one();
     }
 
     /// Records that a runner rejected a request for lack of capacity.
-    pub fn full(&self, key: RunnerKey, now: Instant) {
+    pub fn record_overload(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
             runner.health.full(now);
         }
@@ -312,7 +312,7 @@
         self.by_id.insert(registration.id.clone(), key);
     }
 
-    fn failed(&mut self, key: RunnerKey, now: Instant) {
+    fn record_failure(&mut self, key: RunnerKey, now: Instant) {
         let Some(runner) = self.runners.get_mut(key) else { return };
         runner.health.failed(now);
         runner.pool.clear();
--- a/crates/relay/src/fleet/lease.rs
+++ b/crates/relay/src/fleet/lease.rs
@@ -48,7 +48,7 @@
 impl Lease {
     /// Records a response from the runner.
     pub fn alive(&self) {
-        self.fleet.alive(self.endpoint.key, Instant::now());
+        self.fleet.record_response(self.endpoint.key, Instant::now());
     }
 
     /// Marks the prompt as prefilled after the first output.
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -8,7 +8,7 @@
 use {
     self::prefill_rate::PrefillRate,
     crate::{
-        body::Answer,
+        body::ResponseBody,
         budget::{Allowance, Budgets},
         call::Call,
         catalog::{Engine, Kind},
@@ -52,7 +52,7 @@
     /// View published by the control thread.
     pub published: Published,
     /// Requests and streams in flight.
-    pub open: Rc<Cell<usize>>,
+    pub in_flight: Rc<Cell<usize>>,
     /// Metrics.
     pub metrics: Metrics,
     /// Outcomes of requests during a rollout, for the control thread.
@@ -65,16 +65,16 @@
 }
 
 /// Counts a request as in flight until dropped.
-pub struct Open(Rc<Cell<usize>>);
+pub struct InFlightGuard(Rc<Cell<usize>>);
 
-impl Open {
-    fn new(count: &Rc<Cell<usize>>) -> Open {
+impl InFlightGuard {
+    fn new(count: &Rc<Cell<usize>>) -> InFlightGuard {
         count.set(count.get() + 1);
-        Open(count.clone())
+        InFlightGuard(count.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -99,7 +99,7 @@
                 published: published.clone(),
             },
             published,
-            open: Rc::default(),
+            in_flight: Rc::default(),
             metrics,
             trials: None,
             budgets: Budgets::new(allowance),
@@ -116,9 +116,9 @@
     }
 
     /// Runs a request to its response.
-    pub async fn serve(&self, mut call: Call) -> Response<Answer> {
+    pub async fn serve(&self, mut call: Call) -> Response<ResponseBody> {
         call.version = self.choose_version(&call.service);
-        self.budgets.request(&call.service);
+        self.budgets.count_request(&call.service);
         let (kind, start, id) = (call.route.kind, call.start, call.head.id.clone());
         let response = match kind {
             Kind::Idempotent => idempotent::serve(self, &call).await,
@@ -137,8 +137,8 @@
     }
 
     /// Counts a request as in flight.
-    pub fn opened(&self) -> Open {
-        Open::new(&self.open)
+    pub fn track_in_flight(&self) -> InFlightGuard {
+        InFlightGuard::new(&self.in_flight)
     }
 
     /// Selects a runner.
@@ -213,7 +213,7 @@
         Refusal::NotRun { retry: rand::rng().random_range(least..least + RETRY_SPREAD) }
     }
 
-    fn refuse(&self, call: &Call, refusal: Refusal) -> Response<Answer> {
+    fn refuse(&self, call: &Call, refusal: Refusal) -> Response<ResponseBody> {
         let waited = call.start.elapsed().as_millis() as u64;
         self.metrics.refused(refusal);
         log::warn!(request = call.head.id.as_str(), route = call.route.name.as_str(), waited,
@@ -234,7 +234,7 @@
 }
 
 /// Classifies a response by its head.
-fn outcome<D: Dialect>(response: &Response<Answer>, dialect: &D) -> Outcome {
+fn outcome<D: Dialect>(response: &Response<ResponseBody>, dialect: &D) -> Outcome {
     match response.status() {
         status if status.is_success() => Outcome::Served,
         _ if dialect.is_signed(response.headers()) => Outcome::Failed,
--- a/crates/relay/src/flow/at_most_once.rs
+++ b/crates/relay/src/flow/at_most_once.rs
@@ -3,7 +3,7 @@
 use {
     super::{Traffic, ended, options},
     crate::{
-        body::Answer,
+        body::ResponseBody,
         call::Call,
         dialect::Dialect,
         network::Network,
@@ -23,7 +23,7 @@
 pub(super) async fn serve<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     call: &Call,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let until = call.deadline();
     let mut tried = Vec::new();
     let mut arrived = false;
@@ -51,10 +51,10 @@
             }
             SendOutcome::NotRun => arrived = true,
             SendOutcome::Withheld => {}
-            SendOutcome::Unsent => fleet.failed(key, Instant::now()),
+            SendOutcome::Unsent => fleet.record_failure(key, Instant::now()),
             SendOutcome::Lost(error) => {
                 if error == SendError::Broken {
-                    fleet.failed(key, Instant::now());
+                    fleet.record_failure(key, Instant::now());
                 }
                 traffic.record_trial(call, key, ended(call, false));
                 return traffic.refuse(call, lost(error));
--- a/crates/relay/src/flow/generation.rs
+++ b/crates/relay/src/flow/generation.rs
@@ -12,7 +12,7 @@
     },
     super::Traffic,
     crate::{
-        body::{self, Answer, Feed},
+        body::{self, Feed, ResponseBody},
         call::{Call, Size},
         catalog::Kind,
         dialect::{Dialect, ReplicaRef, SendOptions},
@@ -95,11 +95,11 @@
 pub(super) async fn serve<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     call: Call,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let mut generation = Generation::new(traffic.clone(), call);
     match generation.begin().await {
         Ok(StartedRun { parts, run, first }) => {
-            let open = traffic.opened();
+            let open = traffic.track_in_flight();
             let fill = |feed| async move {
                 generation.pump(feed, run, first).await;
                 drop(open);
@@ -333,7 +333,7 @@
     }
 
     fn mark_failed(&self, key: RunnerKey) {
-        self.traffic.client.fleet.failed(key, Instant::now());
+        self.traffic.client.fleet.record_failure(key, Instant::now());
     }
 
     fn final_failure(&mut self) -> FinalFailure {
--- a/crates/relay/src/flow/generation/placement.rs
+++ b/crates/relay/src/flow/generation/placement.rs
@@ -20,7 +20,7 @@
     pub(super) fn next_endpoint(&mut self) -> Option<(Endpoint, Option<ReplicaRef>)> {
         let fleet = &self.traffic.client.fleet;
         if let Some((endpoint, from_replica)) = self.from_replica.take() {
-            match fleet.at(&endpoint).filter(|holder| fleet.is_available(holder.key)) {
+            match fleet.find_by_address(&endpoint).filter(|holder| fleet.is_available(holder.key)) {
                 Some(holder) => return Some((holder, Some(from_replica))),
                 None => log::info!(request = self.call.head.id.as_str(),
                     runner = endpoint.id.as_str(); "replica holder lost or draining"),
--- a/crates/relay/src/flow/generation/replica.rs
+++ b/crates/relay/src/flow/generation/replica.rs
@@ -115,7 +115,7 @@
         let pause = if handle.is_some() { replica_ttl.mul_f64(RENEW) } else { RETRY };
         if let Some(handle) = handle {
             // A completed transfer proves that the holder is up.
-            client.fleet.alive(holder.key, Instant::now());
+            client.fleet.record_response(holder.key, Instant::now());
             *state.from_replica.borrow_mut() = Some(ReplicaRef { address: source.address, handle });
         }
         sleep(pause).await;
--- a/crates/relay/src/flow/generation/run.rs
+++ b/crates/relay/src/flow/generation/run.rs
@@ -97,7 +97,7 @@
 
     /// Returns the connection of a completed run to the pool.
     pub(super) fn keep(self, fleet: &Fleet) {
-        fleet.keep(self.lease.endpoint.key, self.line, self.idle);
+        fleet.return_connection(self.lease.endpoint.key, self.line, self.idle);
     }
 
     fn take(&mut self, frame: &hyper::body::Frame<bytes::Bytes>) {
--- a/crates/relay/src/flow/idempotent.rs
+++ b/crates/relay/src/flow/idempotent.rs
@@ -3,7 +3,7 @@
 use {
     super::{Traffic, ended, options},
     crate::{
-        body::Answer,
+        body::ResponseBody,
         call::Call,
         dialect::Dialect,
         fleet::{Endpoint, RunnerKey},
@@ -40,7 +40,7 @@
 pub(super) async fn serve<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     call: &Call,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let mut progress = Progress::default();
     let end = call.deadline();
     let attempts = call.route.attempts.max(1);
@@ -96,13 +96,13 @@
             }
         }
         SendOutcome::NotRun | SendOutcome::Withheld => {}
-        SendOutcome::Unsent => fleet.failed(key, Instant::now()),
+        SendOutcome::Unsent => fleet.record_failure(key, Instant::now()),
         SendOutcome::Lost(error) => {
             progress.runs += 1;
             progress.lost = Some(error);
             match error {
-                SendError::Silent => fleet.full(key, Instant::now()),
-                SendError::Unsent | SendError::Broken => fleet.failed(key, Instant::now()),
+                SendError::Silent => fleet.record_overload(key, Instant::now()),
+                SendError::Unsent | SendError::Broken => fleet.record_failure(key, Instant::now()),
             }
         }
     }
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        body::Answer,
+        body::ResponseBody,
         call::{Call, Head},
         catalog::{Account, Catalog, Denied, Route},
-        dialect::{Dialect, Malformed, Question},
+        dialect::{Dialect, Malformed, Query},
         drain::Drain,
         flow::Traffic,
         log_messages::REFUSED,
@@ -57,14 +57,14 @@
     /// Signals a request that waits for the catalogue or the runners.
     pub demand: Arc<Notify>,
     /// Maximum time to live of an address response.
-    pub keep: Duration,
+    pub max_addresses_ttl: Duration,
 }
 
 impl<D: Dialect, N: Network> Handler<D, N> {
     /// Handles a request.
-    pub async fn request(&self, request: Request<Incoming>) -> Response<Answer> {
+    pub async fn handle_request(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let start = Instant::now();
-        let _open = self.traffic.opened();
+        let _open = self.traffic.track_in_flight();
         let (parts, body) = request.into_parts();
         if !self.has_started() {
             self.start(&parts, start).await;
@@ -81,22 +81,22 @@
     }
 
     /// Handles a query about this node.
-    pub fn question(&self, request: &Request<Incoming>) -> Response<Answer> {
+    pub fn handle_query(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         let uri = request.uri();
-        match self.dialect().question(uri.path(), uri.query().unwrap_or_default()) {
-            Some(Question::Ready) => status(match self.is_ready() {
+        match self.dialect().parse_query(uri.path(), uri.query().unwrap_or_default()) {
+            Some(Query::Ready) => status(match self.is_ready() {
                 true => StatusCode::OK,
                 false => StatusCode::SERVICE_UNAVAILABLE,
             }),
-            Some(Question::Addresses(_)) => self.addresses(),
+            Some(Query::Addresses(_)) => self.addresses(),
             None => status(StatusCode::NOT_FOUND),
         }
     }
 
     /// Handles a metrics scrape.
-    pub fn metrics(&self) -> Response<Answer> {
-        let text = self.traffic.metrics.text(self.traffic.open.get());
-        let mut response = Response::new(Answer::from(Bytes::from(text)));
+    pub fn metrics(&self) -> Response<ResponseBody> {
+        let text = self.traffic.metrics.text(self.traffic.in_flight.get());
+        let mut response = Response::new(ResponseBody::from(Bytes::from(text)));
         let kind = header::HeaderValue::from_static(METRICS_TYPE);
         response.headers_mut().insert(header::CONTENT_TYPE, kind);
         response
@@ -118,7 +118,7 @@
 
     /// Waits until the node has loaded its state, within limits.
     async fn start(&self, parts: &Parts, start: Instant) {
-        let timeout = self.dialect().head(parts).ok().and_then(|head| head.timeout);
+        let timeout = self.dialect().parse_request(parts).ok().and_then(|head| head.timeout);
         let share = timeout.map_or(STARTING_WAIT, |timeout| timeout.mul_f64(STARTING_SHARE));
         let end = start + share.min(STARTING_WAIT);
         self.demand.notify_one();
@@ -127,7 +127,7 @@
         }
     }
 
-    fn addresses(&self) -> Response<Answer> {
+    fn addresses(&self) -> Response<ResponseBody> {
         let view = self.traffic.published.load();
         let mut nodes: Vec<SocketAddr> = view.nodes.iter().map(address).collect();
         if nodes.len() > ADDRESSES {
@@ -138,15 +138,15 @@
         if nodes.is_empty() {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let ttl = ADDRESSES_TTL.min(self.keep);
+        let ttl = ADDRESSES_TTL.min(self.max_addresses_ttl);
         let (kind, body) = self.dialect().addresses(&nodes, ttl);
-        let mut response = Response::new(Answer::from(Bytes::from(body)));
+        let mut response = Response::new(ResponseBody::from(Bytes::from(body)));
         let kind = header::HeaderValue::from_static(kind);
         response.headers_mut().insert(header::CONTENT_TYPE, kind);
         response
     }
 
-    fn refuse(&self, refusal: Refusal, id: Option<&str>) -> Response<Answer> {
+    fn refuse(&self, refusal: Refusal, id: Option<&str>) -> Response<ResponseBody> {
         self.traffic.metrics.refused(refusal);
         log::warn!(request = id.unwrap_or_default(), version = self.version(); "{REFUSED}{refusal:?}");
         refusal.answer(self.dialect(), id)
@@ -158,7 +158,7 @@
 
     /// Admits a request by the current catalogue.
     fn admit(&self, parts: &Parts, start: Instant) -> Result<Admitted, (Refusal, Option<String>)> {
-        let head = self.dialect().head(parts).map_err(|e| (malformed(e), None))?;
+        let head = self.dialect().parse_request(parts).map_err(|e| (malformed(e), None))?;
         let id = || Some(head.id.to_string());
         let view = self.traffic.published.load();
         let Some(catalog) = view.catalog.clone() else {
@@ -180,7 +180,7 @@
         body: Incoming,
         admitted: Admitted,
         start: Instant,
-    ) -> Response<Answer> {
+    ) -> Response<ResponseBody> {
         let Admitted { head, route, account, catalog } = admitted;
         let limit = Limited::new(body, catalog.limits.body);
         let read = tokio::time::timeout_at(start + route.timeout, limit.collect());
@@ -231,8 +231,8 @@
     }
 }
 
-fn status(status: StatusCode) -> Response<Answer> {
-    let mut response = Response::new(Answer::empty());
+fn status(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::empty());
     *response.status_mut() = status;
     response
 }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -114,7 +114,7 @@
     traffic.client.fleet.set_domain(&settings.domain);
     traffic.trials = Some(trial_sender.clone());
     traffic.set_metrics(&metrics);
-    let handler = Handler { traffic, drain, demand, keep: settings.bounds.keep() };
+    let handler = Handler { traffic, drain, demand, max_addresses_ttl: settings.bounds.keep() };
     LocalSet::new().block_on(
         &runtime()?,
         serve(
@@ -142,8 +142,8 @@
         _ = tokio::task::spawn_local(serve);
         Ok(())
     };
-    start(settings.listen.health, Purpose::Questions)?;
-    start(settings.listen.addresses, Purpose::Questions)?;
+    start(settings.listen.health, Purpose::Queries)?;
+    start(settings.listen.addresses, Purpose::Queries)?;
     start(settings.listen.callers, Purpose::Requests)?;
     if let Some(address) = settings.listen.metrics {
         start(address, Purpose::Metrics)?;
@@ -197,15 +197,16 @@
     close: &watch::Sender<bool>,
 ) {
     let end = handler.drain.kill_deadline(at);
-    let forgotten = Drain::addresses_expire(at, ADDRESSES_TTL.min(handler.keep)).min(end);
+    let forgotten =
+        Drain::addresses_expire(at, ADDRESSES_TTL.min(handler.max_addresses_ttl)).min(end);
     sleep_until(forgotten).await;
     close.send_replace(true);
-    while handler.traffic.open.get() > 0 && Instant::now() < end {
+    while handler.traffic.in_flight.get() > 0 && Instant::now() < end {
         sleep(DRAIN_TICK).await;
     }
     // Leaves time to flush the last responses.
     sleep(DRAIN_TICK).await;
-    let open = handler.traffic.open.get();
+    let open = handler.traffic.in_flight.get();
     log::info!(open = open as u64, after = at.elapsed().as_millis() as u64; "drained");
 }
 
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         catalog::Catalog,
-        rollouts::{Record, RolloutOrder},
+        rollouts::{RolloutOrder, RolloutStatus},
         view::Registration,
     },
     bytes::Bytes,
@@ -23,19 +23,19 @@
     const STATUS: &'static str;
 
     /// Decodes a catalogue.
-    fn catalog(&self, value: &[u8]) -> Result<Catalog, BadRecord>;
+    fn parse_catalog(&self, value: &[u8]) -> Result<Catalog, BadRecord>;
 
     /// Decodes a registration.
-    fn registration(&self, id: &str, value: &[u8]) -> Result<Registration, BadRecord>;
+    fn parse_registration(&self, id: &str, value: &[u8]) -> Result<Registration, BadRecord>;
 
     /// Decodes a rollout order; `None` if the key is not one.
-    fn order(&self, key: &str, value: &[u8]) -> Option<Result<RolloutOrder, BadRecord>>;
+    fn parse_order(&self, key: &str, value: &[u8]) -> Option<Result<RolloutOrder, BadRecord>>;
 
     /// Decodes a rollout status; `None` if the key is not one.
-    fn parse_status(&self, key: &str, value: &[u8]) -> Option<Result<Record, BadRecord>>;
+    fn parse_status(&self, key: &str, value: &[u8]) -> Option<Result<RolloutStatus, BadRecord>>;
 
     /// Encodes a rollout status as key and value.
-    fn encode_status(&self, record: &Record) -> (CompactString, Bytes);
+    fn encode_status(&self, record: &RolloutStatus) -> (CompactString, Bytes);
 }
 
 /// An invalid row.
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -35,7 +35,7 @@
 
 /// Rollout status as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct RolloutStatus {
     /// Service.
     pub service: CompactString,
     /// Target version.
@@ -67,7 +67,7 @@
 pub struct Rollouts {
     me: Incarnation,
     tracks: BTreeMap<CompactString, Track>,
-    records: BTreeMap<CompactString, (u64, Record)>,
+    records: BTreeMap<CompactString, (u64, RolloutStatus)>,
 }
 
 impl Rollouts {
@@ -93,7 +93,7 @@
     }
 
     /// Applies a stored status with its store revision.
-    pub fn record(&mut self, revision: u64, record: Record) {
+    pub fn record(&mut self, revision: u64, record: RolloutStatus) {
         if let Some(track) = self.tracks.get_mut(&record.service) {
             track.record(revision, &record);
         }
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -1,7 +1,7 @@
 //! State machine of one rollout.
 
 use {
-    super::{Record, RolloutOrder, exposure::SHARE},
+    super::{RolloutOrder, RolloutStatus, exposure::SHARE},
     crate::view::{Rule, Split},
     bilberryfront_decide::{
         chart::Chart,
@@ -73,7 +73,7 @@
     /// Write this status if the stored one has revision `expected` (0: none).
     Write {
         /// Status.
-        record: Record,
+        record: RolloutStatus,
         /// Expected revision.
         expected: u64,
     },
@@ -141,7 +141,7 @@
     }
 
     /// Applies a stored status; one older than the order belongs to an earlier rollout.
-    pub(super) fn record(&mut self, revision: u64, record: &Record) {
+    pub(super) fn record(&mut self, revision: u64, record: &RolloutStatus) {
         let mine = revision > self.revision && record.to == self.order.to;
         self.recorded = (revision, mine.then_some(record.phase));
         match record.phase {
@@ -286,7 +286,7 @@
         }
         self.write_at = now + RETRY;
         let RolloutOrder { service, to, .. } = self.order.clone();
-        let record = Record { service, to, phase };
+        let record = RolloutStatus { service, to, phase };
         Some(Action::Write { record, expected: self.recorded.0 })
     }
 
--- a/crates/relay/src/runner_client.rs
+++ b/crates/relay/src/runner_client.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         call::Call,
-        dialect::{Answer, Dialect, Identity, Progress, SendOptions},
+        dialect::{Dialect, Identity, Progress, ResponseHead, SendOptions},
         fleet::{Endpoint, Fleet},
         headers,
         log_messages::{ANSWER_LOST, NOT_RUN, RUN_FAILED},
@@ -66,7 +66,7 @@
     /// Head.
     pub parts: Parts,
     /// Decoded headers.
-    pub answer: Answer,
+    pub answer: ResponseHead,
     /// Body.
     pub body: Incoming,
     /// Connection, reusable after the body.
@@ -98,7 +98,7 @@
         until: Instant,
     ) -> SendOutcome {
         let request = || {
-            let headers = self.dialect.send(call, options);
+            let headers = self.dialect.request_headers(call, options);
             request(&call.method, &call.path, endpoint.address, headers, call.body.clone())
         };
         if !self.fleet.admit(endpoint.key) {
@@ -122,43 +122,43 @@
         };
         self.count_bytes(Part::Request, endpoint, call.body.len());
         let (mut parts, body) = response.into_parts();
-        let answer = self.dialect.answer(&parts);
+        let answer = self.dialect.parse_response(&parts);
         self.apply_signals(endpoint, &answer);
-        if answer.unrun {
+        if answer.not_run {
             log::info!(request = call.head.id.as_str(), runner = endpoint.id.as_str(),
                 status = parts.status.as_u16(), from_replica = options.from_replica.is_some(),
                 retry_after = answer.retry_after.unwrap_or_default().as_millis() as u64;
                 "{NOT_RUN}");
             self.finish_rejected(endpoint, &answer, body, line).await;
-            if let Some(id) = answer.runner.filter(|_| answer.moved) {
+            if let Some(id) = answer.runner.filter(|_| answer.misdirected) {
                 tokio::task::spawn_local(restart::recognize(self.clone(), endpoint.clone(), id));
             }
             return SendOutcome::NotRun;
         }
         // A runner may send a surplus response, which would be read as the answer to the next
         // request on the connection.
-        if !answer.signed || !answer.fits(&call.head.id) {
+        if !answer.signed || !answer.is_for(&call.head.id) {
             let status = parts.status.as_u16();
             log::warn!(request = call.head.id.as_str(), runner = endpoint.id.as_str(), status;
                 "response unsigned or for another request: connection closed");
             return SendOutcome::Lost(SendError::Broken);
         }
         headers::strip(&mut parts.headers);
-        self.fleet.alive(endpoint.key, Instant::now());
+        self.fleet.record_response(endpoint.key, Instant::now());
         SendOutcome::Answered(Box::new(Reply { parts, answer, body, line }))
     }
 
     /// Applies the backpressure signals of a response. The absence of a rate limit ends one only in the
     /// response to a request that was run.
-    fn apply_signals(&self, endpoint: &Endpoint, answer: &Answer) {
-        let is_own = (answer.signed || answer.unrun) && !answer.moved;
-        if let Some(time) = answer.retry_after.filter(|_| answer.unrun && !answer.moved) {
+    fn apply_signals(&self, endpoint: &Endpoint, answer: &ResponseHead) {
+        let is_own = (answer.signed || answer.not_run) && !answer.misdirected;
+        if let Some(time) = answer.retry_after.filter(|_| answer.not_run && !answer.misdirected) {
             self.fleet.pause(endpoint.key, time);
         }
         if is_own && answer.draining {
             self.fleet.set_draining(endpoint.key);
         }
-        if is_own && (answer.rate_limit.is_some() || !answer.unrun) {
+        if is_own && (answer.rate_limit.is_some() || !answer.not_run) {
             self.fleet.set_rate_limit(endpoint.key, answer.rate_limit);
         }
     }
@@ -183,7 +183,7 @@
                     log::info!(request, runner, status = parts.status.as_u16();
                         "{RUN_FAILED}");
                 }
-                self.fleet.keep(endpoint.key, line, answer.idle);
+                self.fleet.return_connection(endpoint.key, line, answer.idle);
                 return Ok((parts, bytes));
             }
             Ok(Err(_)) => SendError::Broken,
@@ -289,13 +289,13 @@
             let until = Instant::now() + limit;
             let (response, line) = self.exchange(endpoint, request, until).await.ok()?;
             let (parts, body) = response.into_parts();
-            let answer = self.dialect.answer(&parts);
+            let answer = self.dialect.parse_response(&parts);
             if answer.draining {
                 self.fleet.set_draining(endpoint.key);
             }
             let body = Limited::new(body, ANSWER_BYTES).collect().await.ok()?.to_bytes();
-            self.fleet.alive(endpoint.key, Instant::now());
-            self.fleet.keep(endpoint.key, line, answer.idle);
+            self.fleet.record_response(endpoint.key, Instant::now());
+            self.fleet.return_connection(endpoint.key, line, answer.idle);
             parts.status.is_success().then_some(body)
         };
         timeout(limit, asked).await.ok()?
@@ -309,7 +309,7 @@
         request: impl Fn() -> Request<Full<Bytes>>,
         until: Instant,
     ) -> Result<(http::Response<Incoming>, Connection), SendError> {
-        if let Some(mut line) = self.fleet.idle(endpoint.key, Instant::now()) {
+        if let Some(mut line) = self.fleet.take_idle_connection(endpoint.key, Instant::now()) {
             match line.send(request(), until).await {
                 Ok(response) => return Ok((response, line)),
                 Err(SendError::Unsent) => {}
@@ -325,18 +325,18 @@
     async fn finish_rejected(
         &self,
         endpoint: &Endpoint,
-        answer: &Answer,
+        answer: &ResponseHead,
         body: Incoming,
         line: Connection,
     ) {
         let now = Instant::now();
-        match answer.moved {
-            true => self.fleet.replaced(endpoint.key, now),
-            false => self.fleet.full(endpoint.key, now),
+        match answer.misdirected {
+            true => self.fleet.record_replacement(endpoint.key, now),
+            false => self.fleet.record_overload(endpoint.key, now),
         }
         let read = Limited::new(body, REFUSAL_BYTES).collect();
         if let Ok(Ok(_)) = timeout(REFUSAL_TIMEOUT, read).await {
-            self.fleet.keep(endpoint.key, line, answer.idle);
+            self.fleet.return_connection(endpoint.key, line, answer.idle);
         }
     }
 }
--- a/crates/relay/src/runner_client/restart.rs
+++ b/crates/relay/src/runner_client/restart.rs
@@ -38,7 +38,7 @@
         log::info!(runner = id.as_str(), former = endpoint.id.as_str(), draining = identity.draining;
             "unlisted runner at a known address, draining or of unknown service");
     }
-    client.fleet.restarted(Restart { former: endpoint.id, id: is_same.then_some(id) });
+    client.fleet.record_restart(Restart { former: endpoint.id, id: is_same.then_some(id) });
 }
 
 /// Whether the identity matches `service`. Inconclusive during a rollout, since the version is
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        body::Answer, catalog::Limits, dialect::Dialect, handler::Handler, network::Network,
+        body::ResponseBody, catalog::Limits, dialect::Dialect, handler::Handler, network::Network,
         view::Published,
     },
     http::{Request, Response},
@@ -32,7 +32,7 @@
     /// Callers' requests.
     Requests,
     /// Queries about this node.
-    Questions,
+    Queries,
     /// Metrics scrapes.
     Metrics,
 }
@@ -108,10 +108,10 @@
     handler: &Handler<D, N>,
     purpose: Purpose,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     Ok(match purpose {
-        Purpose::Requests => handler.request(request).await,
-        Purpose::Questions => handler.question(&request),
+        Purpose::Requests => handler.handle_request(request).await,
+        Purpose::Queries => handler.handle_query(&request),
         Purpose::Metrics => handler.metrics(),
     })
 }
--- a/crates/relay/tests/fleet.rs
+++ b/crates/relay/tests/fleet.rs
@@ -158,11 +158,11 @@
 async fn two_failures_cast_doubt_on_their_domain() {
     let fleet = fleet(4);
     let keys: Vec<_> = (0..4).map(|i| find(&fleet, &format!("r{i}"))).collect();
-    fleet.failed(keys[0], Instant::now());
+    fleet.record_failure(keys[0], Instant::now());
     assert!(!fleet.is_ejected(keys[2]), "one failure is one runner's");
-    fleet.failed(keys[1], Instant::now());
+    fleet.record_failure(keys[1], Instant::now());
     assert!(fleet.is_ejected(keys[2]) && fleet.is_ejected(keys[3]));
-    fleet.alive(keys[3], Instant::now());
+    fleet.record_response(keys[3], Instant::now());
     assert!(!fleet.is_ejected(keys[3]));
     for _ in 0..50 {
         let place = fleet.choose(&criteria(None)).unwrap();
@@ -176,7 +176,7 @@
 async fn restarted_runners_do_not_make_their_domain_suspect() {
     let fleet = fleet(6);
     let now = Instant::now();
-    (0..3).for_each(|i| fleet.replaced(find(&fleet, &format!("r{i}")), now));
+    (0..3).for_each(|i| fleet.record_replacement(find(&fleet, &format!("r{i}")), now));
     assert!(fleet.is_ejected(find(&fleet, "r0")));
     assert!(!fleet.is_ejected(find(&fleet, "r3")));
     assert!(fleet.take_update().failed.is_empty());
@@ -190,7 +190,7 @@
     let mut listed = runners(6);
     listed[..3].iter_mut().for_each(|r| r.state = State::Draining);
     fleet.update(&listed);
-    (0..3).for_each(|i| fleet.failed(find(&fleet, &format!("r{i}")), Instant::now()));
+    (0..3).for_each(|i| fleet.record_failure(find(&fleet, &format!("r{i}")), Instant::now()));
     assert!(!fleet.is_ejected(find(&fleet, "r3")));
 }
 
@@ -203,7 +203,7 @@
     listed[3].state = State::Draining;
     fleet.update(&listed);
     let key = |index: u8| find(&fleet, &format!("r{index}"));
-    (0..2).for_each(|i| fleet.failed(key(i), Instant::now()));
+    (0..2).for_each(|i| fleet.record_failure(key(i), Instant::now()));
     assert!(fleet.is_ejected(key(2)) && fleet.is_available(key(2)));
     assert!(!fleet.is_available(key(0)));
     assert!(!fleet.is_available(key(3)));
@@ -214,7 +214,7 @@
 async fn another_nodes_failures_count_unless_contradicted() {
     let fleet = fleet(2);
     let [dead, living] = [find(&fleet, "r0"), find(&fleet, "r2")];
-    fleet.alive(living, Instant::now());
+    fleet.record_response(living, Instant::now());
     let failed = vec!["r0".into(), "r2".into()];
     fleet.apply_peer_load(&"other".into(), &message::Load { failed, ..message::Load::default() });
     assert!(fleet.is_ejected(dead));
@@ -226,7 +226,7 @@
 async fn copies_go_only_to_runners_that_were_steady() {
     let fleet = fleet(1);
     let dead = find(&fleet, "r1");
-    fleet.failed(dead, Instant::now());
+    fleet.record_failure(dead, Instant::now());
     advance(Duration::from_millis(1_500)).await;
     assert!(!fleet.is_ejected(dead));
     let stable = Criteria { stable: true, ..criteria(None) };
@@ -243,7 +243,7 @@
     fleet.update(&runners(2)[..4]);
     let copy = Criteria { away: Some("a"), stable: true, ..criteria(None) };
     for id in ["r2", "r3"] {
-        fleet.failed(find(&fleet, id), Instant::now());
+        fleet.record_failure(find(&fleet, id), Instant::now());
     }
     assert_eq!(fleet.choose(&copy).unwrap().domain, "a", "the others are down");
     advance(Duration::from_millis(1_500)).await;
@@ -255,7 +255,7 @@
 async fn a_new_life_starts_clean() {
     let fleet = fleet(1);
     let old = find(&fleet, "r0");
-    fleet.failed(old, Instant::now());
+    fleet.record_failure(old, Instant::now());
     let lease = fleet.lease(fleet.find("r0").unwrap(), PROMPT);
     let mut registrations = runners(1);
     registrations[0].born = 2;
--- a/crates/relay/tests/large_fleet.rs
+++ b/crates/relay/tests/large_fleet.rs
@@ -162,7 +162,7 @@
     let crashed = |id: &str| id.starts_with("a-") && !id.ends_with('7');
     for fleet in &domain.nodes {
         for engine in registrations().iter().filter(|r| crashed(&r.id)) {
-            fleet.failed(fleet.find(&engine.id).unwrap().key, Instant::now());
+            fleet.record_failure(fleet.find(&engine.id).unwrap().key, Instant::now());
         }
     }
     domain.streams.retain(|s| !crashed(&s.lease.endpoint.id));
@@ -198,10 +198,10 @@
     let domain = Domain::new();
     let node = &domain.nodes[0];
     let engine = |index: u8| node.find(&format!("a-{index}")).unwrap().key;
-    (0..4).for_each(|index| node.failed(engine(index), Instant::now()));
+    (0..4).for_each(|index| node.record_failure(engine(index), Instant::now()));
     assert!(!node.is_ejected(engine(50)));
     assert_eq!(node.choose(&criteria(7)).unwrap().domain, "a");
-    (4..6).for_each(|index| node.failed(engine(index), Instant::now()));
+    (4..6).for_each(|index| node.record_failure(engine(index), Instant::now()));
     assert!(node.is_ejected(engine(50)));
     assert_ne!(node.choose(&criteria(7)).unwrap().domain, "a");
 }
--- a/crates/relay/tests/parts.rs
+++ b/crates/relay/tests/parts.rs
@@ -88,7 +88,7 @@
     }
 
     fn request(&mut self, node: usize) {
-        self.budgets[node].request(SERVICE);
+        self.budgets[node].count_request(SERVICE);
         self.log.push((Instant::now(), false));
     }
 
@@ -181,7 +181,7 @@
     }
     assert_eq!(resumed, 2 * GROUP);
     let alone = Budgets::new(ALLOWANCE);
-    (0..5).for_each(|_| alone.request(SERVICE));
+    (0..5).for_each(|_| alone.count_request(SERVICE));
     let alone = (0..10).filter(|_| alone.take(SERVICE, SYSTEM)).count();
     assert!(alone <= 3, "{alone} retries of a node that hears of nobody");
 }
--- a/crates/relay/tests/registry.rs
+++ b/crates/relay/tests/registry.rs
@@ -6,7 +6,7 @@
         catalog::Catalog,
         control::registry::RunnerRegistry,
         records::{BadRecord, Records},
-        rollouts::{Record, RolloutOrder},
+        rollouts::{RolloutOrder, RolloutStatus},
         store::Row,
         view::{Registration, State},
     },
@@ -26,11 +26,11 @@
     const RUNNERS: &'static str = "runners";
     const STATUS: &'static str = "status";
 
-    fn catalog(&self, _: &[u8]) -> Result<Catalog, BadRecord> {
+    fn parse_catalog(&self, _: &[u8]) -> Result<Catalog, BadRecord> {
         Err(BadRecord("no catalogue here".into()))
     }
 
-    fn registration(&self, id: &str, value: &[u8]) -> Result<Registration, BadRecord> {
+    fn parse_registration(&self, id: &str, value: &[u8]) -> Result<Registration, BadRecord> {
         let text = str::from_utf8(value).map_err(|_| BadRecord("not UTF-8".into()))?;
         let [address, born, state] = text.split(' ').collect::<Vec<_>>()[..] else {
             return Err(BadRecord("not three words".into()));
@@ -48,15 +48,15 @@
         })
     }
 
-    fn order(&self, _: &str, _: &[u8]) -> Option<Result<RolloutOrder, BadRecord>> {
+    fn parse_order(&self, _: &str, _: &[u8]) -> Option<Result<RolloutOrder, BadRecord>> {
         None
     }
 
-    fn parse_status(&self, _: &str, _: &[u8]) -> Option<Result<Record, BadRecord>> {
+    fn parse_status(&self, _: &str, _: &[u8]) -> Option<Result<RolloutStatus, BadRecord>> {
         None
     }
 
-    fn encode_status(&self, record: &Record) -> (CompactString, Bytes) {
+    fn encode_status(&self, record: &RolloutStatus) -> (CompactString, Bytes) {
         (record.service.clone(), Bytes::new())
     }
 }
--- a/crates/relay/tests/rollouts.rs
+++ b/crates/relay/tests/rollouts.rs
@@ -7,7 +7,7 @@
     },
     bilberryfront_relay::{
         rollouts::{
-            Action, Phase, Record, RolloutOrder, Rollouts, Trial,
+            Action, Phase, RolloutOrder, RolloutStatus, Rollouts, Trial,
             exposure::{Bound, Exposure},
         },
         view::{Rule, Split},
@@ -51,7 +51,7 @@
     rng: SmallRng,
     start: Instant,
     failing: Failing,
-    store: Option<(u64, Record)>,
+    store: Option<(u64, RolloutStatus)>,
     revision: u64,
     store_down: bool,
     finals: u32,
@@ -121,7 +121,7 @@
         }
     }
 
-    fn write(&mut self, record: &Record, expected: u64) {
+    fn write(&mut self, record: &RolloutStatus, expected: u64) {
         let held = self.store.as_ref().map_or(0, |(revision, _)| *revision);
         if self.store_down || held != expected {
             return;
@@ -276,7 +276,7 @@
     };
     node.handle_peer_update(Instant::now(), &news);
     assert_eq!(node.splits()["llm"].rule, Rule::Old);
-    let record = Record { service: "llm".into(), to: "v2".into(), phase: Phase::Completed };
+    let record = RolloutStatus { service: "llm".into(), to: "v2".into(), phase: Phase::Completed };
     node.record(12, record);
     assert_eq!(node.splits()["llm"].rule, Rule::New);
 }
@@ -285,7 +285,7 @@
 /// nothing. A record that is older than the order is of an earlier move.
 #[tokio::test(start_paused = true)]
 async fn a_restarted_node_follows_the_record() {
-    let record = |phase| Record { service: "llm".into(), to: "v2".into(), phase };
+    let record = |phase| RolloutStatus { service: "llm".into(), to: "v2".into(), phase };
     for (revision, phase, rule) in [
         (12, Phase::Completed, Rule::New),
         (12, Phase::RolledBack, Rule::Old),
--- a/tests/relay/faces.rs
+++ b/tests/relay/faces.rs
@@ -34,8 +34,12 @@
 impl<N: Network> Node<N> {
     fn new(traffic: Traffic<Http, N>) -> Node<N> {
         let drain = Drain::new(Duration::from_secs(8));
-        let handler =
-            Handler { traffic, drain, demand: Arc::default(), keep: Duration::from_secs(5) };
+        let handler = Handler {
+            traffic,
+            drain,
+            demand: Arc::default(),
+            max_addresses_ttl: Duration::from_secs(5),
+        };
         Node { handler, close: watch::Sender::new(false) }
     }
 
@@ -88,7 +92,7 @@
             let retry: f64 = header(&response, "retry-after").unwrap().parse().unwrap();
             assert!((retry - seconds).abs() < f64::EPSILON);
         }
-        let mut asker = node.connect(Purpose::Questions).await;
+        let mut asker = node.connect(Purpose::Queries).await;
         assert_eq!(asker.get("/api/readyz").await.status(), 503);
         world.publish();
         assert_eq!(caller.get("/look/1").await.status(), 200);
@@ -146,7 +150,7 @@
     play(async {
         let world = World::new(PLAIN, &["a"], &Script::Whole(200, "yes"));
         let node = Node::new(world.traffic.clone());
-        let mut asker = node.connect(Purpose::Questions).await;
+        let mut asker = node.connect(Purpose::Queries).await;
         let response = asker.get("/api/resolve?name=desk.example&region=r&zone=a").await;
         assert_eq!(response.status(), 200);
         let body = String::from_utf8(response.into_body().to_vec()).unwrap();
@@ -166,7 +170,7 @@
         let mut caller = node.connect(Purpose::Requests).await;
         assert_eq!(header(&caller.get("/look/1").await, "connection"), None);
         node.handler.drain.start();
-        let mut asker = node.connect(Purpose::Questions).await;
+        let mut asker = node.connect(Purpose::Queries).await;
         assert_eq!(asker.get("/api/readyz").await.status(), 503);
         let response = caller.get("/look/2").await;
         assert_eq!(response.status(), 200);
--- a/tests/relay/streams.rs
+++ b/tests/relay/streams.rs
@@ -99,7 +99,7 @@
         let crashes = async {
             holder[0].crash();
             let place = world.traffic.client.fleet.find(&holder[0].id).unwrap();
-            world.traffic.client.fleet.failed(place.key, Instant::now());
+            world.traffic.client.fleet.record_failure(place.key, Instant::now());
             sleep(ms(200)).await;
             assert_eq!(*first.copies.borrow(), [third[0].address.to_string()]);
             first.crash();
@@ -126,7 +126,7 @@
         let (first, rest) = split(&world);
         let fleet = &world.traffic.client.fleet;
         for runner in rest {
-            fleet.failed(fleet.find(&runner.id).unwrap().key, Instant::now());
+            fleet.record_failure(fleet.find(&runner.id).unwrap().key, Instant::now());
         }
         response.into_body().collect().await.unwrap();
         assert_eq!(first.copies.borrow().len(), 1, "{:?}", first.copies.borrow());
@@ -145,7 +145,7 @@
         let backup = first.header("x-bilberryfront-kv-backup").unwrap();
         let holder = rest.iter().find(|r| r.address.to_string() == backup).unwrap();
         let place = world.traffic.client.fleet.find(&holder.id).unwrap();
-        world.traffic.client.fleet.failed(place.key, Instant::now());
+        world.traffic.client.fleet.record_failure(place.key, Instant::now());
         response.into_body().collect().await.unwrap();
         sleep(ms(10)).await;
         assert_eq!((first.copies.borrow().len(), first.forgotten.get()), (1, 1));
@@ -328,7 +328,7 @@
             first.dark.set(true);
             sleep(ms(100)).await;
             let place = world.traffic.client.fleet.find(&first.id).unwrap();
-            world.traffic.client.fleet.failed(place.key, Instant::now());
+            world.traffic.client.fleet.record_failure(place.key, Instant::now());
         };
         let begun = async {
             let response = world.answer("/stream/1", &PROMPT).await;
@@ -351,7 +351,7 @@
             sleep(ms(1)).await;
             let (first, rest) = split(&world);
             let place = world.traffic.client.fleet.find(&first.id).unwrap();
-            world.traffic.client.fleet.failed(place.key, Instant::now());
+            world.traffic.client.fleet.record_failure(place.key, Instant::now());
             sleep(ms(2_000)).await;
             assert_eq!(rest[0].count(), 0, "left though it may be reading");
             *rest[0].script.borrow_mut() = EVENTS;
@@ -401,7 +401,7 @@
         drop(body);
         sleep(ms(10)).await;
         assert!(line.is_finished());
-        assert_eq!((world.traffic.open.get(), world.sends()), (0, 1));
+        assert_eq!((world.traffic.in_flight.get(), world.sends()), (0, 1));
     })
     .await;
 }
--- a/tests/relay/support.rs
+++ b/tests/relay/support.rs
@@ -4,7 +4,7 @@
     async_stream::stream,
     bilberryfront_platform::{Http, Rows},
     bilberryfront_relay::{
-        body::Answer,
+        body::ResponseBody,
         budget::Allowance,
         call::Call,
         catalog::Catalog,
@@ -478,7 +478,7 @@
         &self,
         path: &str,
         headers: &[(&'static str, &'static str)],
-    ) -> Response<Answer> {
+    ) -> Response<ResponseBody> {
         self.traffic.serve(call(path, headers)).await
     }
 
@@ -563,7 +563,7 @@
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 65536,
                    "header_timeout_ms": 3000, "idle_timeout_ms": 15000}
     }"#;
-    Rows.catalog(text.as_bytes()).unwrap()
+    Rows.parse_catalog(text.as_bytes()).unwrap()
 }
 
 fn call(path: &str, headers: &[(&'static str, &'static str)]) -> Call {
@@ -573,7 +573,7 @@
         request = request.header(*name, *value);
     }
     let (parts, ()) = request.body(()).unwrap().into_parts();
-    let head = Http.head(&parts).unwrap();
+    let head = Http.parse_request(&parts).unwrap();
     let (route, account) = catalog().admit(&head.host, path, None).unwrap();
     let service = route.target(0.0).clone();
     Call {
