--- a/crates/relay/src/body.rs
+++ b/crates/relay/src/body.rs
@@ -15,7 +15,7 @@
 };
 
 /// Buffered events for a slow caller; beyond it, back-pressure reaches the runner.
-const EVENTS: usize = 16;
+const BUFFERED_EVENTS: usize = 16;
 
 /// A response body.
 pub enum ResponseBody {
@@ -30,11 +30,11 @@
     events: mpsc::Receiver<Bytes>,
     ended: bool,
     task: AbortHandle,
-    state: Rc<Cell<bool>>,
+    complete: Rc<Cell<bool>>,
 }
 
 /// Writing end of a stream.
-pub struct Feed {
+pub struct BodySender {
     events: mpsc::Sender<Bytes>,
     complete: Rc<Cell<bool>>,
 }
@@ -61,23 +61,23 @@
 /// A body filled by `fill` while it is being read.
 pub fn stream<F, W>(fill: F) -> ResponseBody
 where
-    F: FnOnce(Feed) -> W,
+    F: FnOnce(BodySender) -> W,
     W: Future<Output = ()> + 'static,
 {
-    let (sender, events) = mpsc::channel(EVENTS);
-    let state = Rc::new(Cell::new(false));
-    let feed = Feed { events: sender, complete: state.clone() };
-    let task = tokio::task::spawn_local(fill(feed)).abort_handle();
-    ResponseBody::Stream(Stream { events, ended: false, task, state })
+    let (events_sender, events) = mpsc::channel(BUFFERED_EVENTS);
+    let complete = Rc::new(Cell::new(false));
+    let sender = BodySender { events: events_sender, complete: complete.clone() };
+    let task = tokio::task::spawn_local(fill(sender)).abort_handle();
+    ResponseBody::Stream(Stream { events, ended: false, task, complete })
 }
 
-impl Feed {
+impl BodySender {
     /// Sends an event; false if the reader is gone.
     pub async fn push(&self, bytes: Bytes) -> bool {
         self.events.send(bytes).await.is_ok()
     }
 
-    /// Ends the body as complete; dropping the feed aborts it.
+    /// Ends the body as complete; dropping the sender aborts it.
     pub fn finish(self) {
         self.complete.set(true);
     }
@@ -137,7 +137,7 @@
             Poll::Ready(Some(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
             Poll::Ready(None) => {
                 self.ended = true;
-                let complete = self.state.get();
+                let complete = self.complete.get();
                 Poll::Ready((!complete).then_some(Err(Aborted)))
             }
         }
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -18,9 +18,9 @@
 const MARGIN: f64 = 0.7;
 /// Age at which a peer's report expires; peers repeat theirs every second. A node that is cut off
 /// falls back to its own part.
-const STALE: Duration = Duration::from_millis(1_500);
+const PEER_REPORT_TTL: Duration = Duration::from_millis(1_500);
 /// Buckets per window.
-const PARTS: u32 = 20;
+const BUCKETS: u32 = 20;
 
 /// Global bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -44,14 +44,14 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     allowance: Allowance,
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
     peers: FxHashMap<CompactString, PeerUse>,
     /// Whether retries were taken since the last report.
     dirty: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Bucket {
     start: Instant,
     requests: u32,
     retries: u32,
@@ -77,8 +77,8 @@
     }
 
     /// Takes one retry as one of `nodes` nodes; false if the budget is exhausted.
-    pub fn take(&self, service: &str, nodes: usize) -> bool {
-        self.with(service, |budget| budget.take(Instant::now(), nodes))
+    pub fn try_take(&self, service: &str, nodes: usize) -> bool {
+        self.with(service, |budget| budget.try_take(Instant::now(), nodes))
     }
 
     /// Use of all budgets, for peers.
@@ -119,25 +119,25 @@
 impl Budget {
     /// An unused budget.
     pub fn new(allowance: Allowance) -> Budget {
-        Budget { allowance, parts: VecDeque::new(), peers: FxHashMap::default(), dirty: false }
+        Budget { allowance, buckets: VecDeque::new(), peers: FxHashMap::default(), dirty: false }
     }
 
     /// Counts a request.
     pub fn count_request(&mut self, now: Instant) {
-        self.part(now).requests += 1;
+        self.current_bucket(now).requests += 1;
     }
 
     /// Takes one retry as one of `nodes` nodes; false if the budget is exhausted.
-    pub fn take(&mut self, now: Instant, nodes: usize) -> bool {
-        self.peers.retain(|_, peer| now < peer.at + STALE);
-        let (own_requests, own_retries) = self.own(now);
+    pub fn try_take(&mut self, now: Instant, nodes: usize) -> bool {
+        self.peers.retain(|_, peer| now < peer.at + PEER_REPORT_TTL);
+        let (own_requests, own_retries) = self.own_use(now);
         let requests = own_requests + self.peers.values().map(|p| p.requests).sum::<u32>();
         let retries = own_retries + self.peers.values().map(|p| p.retries).sum::<u32>();
         let share = (self.peers.len() + 1) as f64 / nodes.max(self.peers.len() + 1) as f64;
         let allowed = self.allowance.ratio * f64::from(requests) + self.allowance.slack * share;
         let free = f64::from(retries) + 1.0 <= allowed * MARGIN;
         if free {
-            self.part(now).retries += 1;
+            self.current_bucket(now).retries += 1;
             self.dirty = true;
         }
         free
@@ -145,7 +145,7 @@
 
     /// Use of this node, for peers.
     pub fn used(&mut self, now: Instant, service: CompactString) -> BudgetUse {
-        let (requests, retries) = self.own(now);
+        let (requests, retries) = self.own_use(now);
         BudgetUse { service, requests, retries }
     }
 
@@ -156,26 +156,27 @@
     }
 
     fn has_requests(&mut self, now: Instant) -> bool {
-        self.own(now) != (0, 0)
+        self.own_use(now) != (0, 0)
     }
 
     /// Requests and retries of this node within the window.
-    fn own(&mut self, now: Instant) -> (u32, u32) {
-        self.part(now);
-        let add =
-            |(requests, retries), part: &Part| (requests + part.requests, retries + part.retries);
-        self.parts.iter().fold((0, 0), add)
+    fn own_use(&mut self, now: Instant) -> (u32, u32) {
+        self.current_bucket(now);
+        let add = |(requests, retries), bucket: &Bucket| {
+            (requests + bucket.requests, retries + bucket.retries)
+        };
+        self.buckets.iter().fold((0, 0), add)
     }
 
     /// The current bucket; drops expired ones.
-    fn part(&mut self, now: Instant) -> &mut Part {
+    fn current_bucket(&mut self, now: Instant) -> &mut Bucket {
         let window = self.allowance.window;
-        while self.parts.front().is_some_and(|p| now >= p.start + window) {
-            self.parts.pop_front();
+        while self.buckets.front().is_some_and(|p| now >= p.start + window) {
+            self.buckets.pop_front();
         }
-        if self.parts.back().is_none_or(|p| now >= p.start + window / PARTS) {
-            self.parts.push_back(Part { start: now, requests: 0, retries: 0 });
+        if self.buckets.back().is_none_or(|p| now >= p.start + window / BUCKETS) {
+            self.buckets.push_back(Bucket { start: now, requests: 0, retries: 0 });
         }
-        self.parts.back_mut().expect("a part was pushed")
+        self.buckets.back_mut().expect("a bucket was pushed")
     }
 }
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -15,7 +15,7 @@
 use {
     self::{
         feed::FeedEvent,
-        feeds::{Feeds, Loaded, Watched},
+        feeds::{Feeds, Loaded, WatchedTable},
         join::Listing,
         members::{Membership, Nodes},
         registry::RunnerRegistry,
@@ -28,7 +28,7 @@
         metrics::Metrics,
         readers::READERS,
         records::Records,
-        rollouts::{Rollouts, Trial},
+        rollouts::{RolloutSample, Rollouts},
         settings::Settings,
         store::{Revision, Store},
         table_sync::TableSync,
@@ -46,7 +46,7 @@
 /// Interval of periodic work.
 const TICK: Duration = Duration::from_millis(50);
 /// Interval at which registrations of dead nodes are looked for.
-const CLEANUP_EVERY: Duration = Duration::from_secs(60);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// State of the control thread.
 struct Control<R, S> {
@@ -70,17 +70,17 @@
     splits: Splits,
     /// Load updates of peers, for the traffic thread.
     peer_reports: mpsc::UnboundedSender<PeerReport>,
-    cleaned: Instant,
+    cleaned_at: Instant,
 }
 
 /// Inputs of the event loop.
 struct Inputs {
-    changes: mpsc::Receiver<FeedEvent<Watched>>,
+    changes: mpsc::Receiver<FeedEvent<WatchedTable>>,
     loaded: mpsc::Receiver<Loaded>,
     joining: mpsc::Receiver<join::Progress>,
     demand: Arc<Notify>,
     updates: mpsc::UnboundedReceiver<Load>,
-    trials: mpsc::UnboundedReceiver<Trial>,
+    samples: mpsc::UnboundedReceiver<RolloutSample>,
 }
 
 /// Channels to the traffic thread.
@@ -88,7 +88,7 @@
     /// Load updates of this node.
     pub updates: mpsc::UnboundedReceiver<Load>,
     /// Outcomes of requests during a rollout.
-    pub trials: mpsc::UnboundedReceiver<Trial>,
+    pub samples: mpsc::UnboundedReceiver<RolloutSample>,
     /// Load updates of peers.
     pub peer_reports: mpsc::UnboundedSender<PeerReport>,
     /// Signals a request that waits for the catalogue or the runners.
@@ -107,7 +107,7 @@
     channels: Channels,
     shutdown: impl Future<Output = ()>,
 ) {
-    let Channels { updates, trials, peer_reports, demand, metrics } = channels;
+    let Channels { updates, samples, peer_reports, demand, metrics } = channels;
     let (feeds, changes, loaded) = Feeds::start::<R, S>(&settings, &store, &metrics);
     let (progress, joining) = mpsc::channel(1);
     let join = join::join(settings.clone(), store.clone(), metrics.clone(), progress);
@@ -131,9 +131,9 @@
         rollouts: Rollouts::new(Incarnation(rand::random())),
         splits: Splits::default(),
         peer_reports,
-        cleaned: Instant::now(),
+        cleaned_at: Instant::now(),
     };
-    let inputs = Inputs { changes, loaded, joining, demand, updates, trials };
+    let inputs = Inputs { changes, loaded, joining, demand, updates, samples };
     control.run_loop(inputs, shutdown).await;
 }
 
@@ -141,8 +141,8 @@
     async fn run_loop(mut self, mut inputs: Inputs, shutdown: impl Future<Output = ()>) {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let (none, mut received) = mpsc::channel(1);
-        let mut none = Some(none);
+        let (placeholder, mut received) = mpsc::channel(1);
+        let mut placeholder = Some(placeholder);
         tokio::pin!(shutdown);
         loop {
             tokio::select! {
@@ -152,15 +152,15 @@
                     join::Progress::Unavailable => self.set_cut_off(true),
                     join::Progress::Joined(joined, listing) => {
                         received = joined.events;
-                        none = None;
-                        self.join(joined.membership, &listing);
+                        placeholder = None;
+                        self.finish_join(joined.membership, &listing);
                     }
                     join::Progress::Settled => self.sync.start(Instant::now()),
                 },
                 () = inputs.demand.notified() => self.load_now(),
-                Some(event) = received.recv(), if none.is_none() => self.handle_peer_event(event),
+                Some(event) = received.recv(), if placeholder.is_none() => self.handle_peer_event(event),
                 Some(load) = inputs.updates.recv() => self.publish_load(&load),
-                Some(trial) = inputs.trials.recv() => self.rollouts.observe(&trial),
+                Some(sample) = inputs.samples.recv() => self.rollouts.observe(&sample),
                 _ = ticks.tick() => {
                     self.tick();
                     self.step_rollouts();
@@ -173,8 +173,8 @@
         }
     }
 
-    fn join(&mut self, mut membership: Membership, listing: &Listing) {
-        membership.list(&listing.rows, true);
+    fn finish_join(&mut self, mut membership: Membership, listing: &Listing) {
+        membership.apply_registrations(&listing.rows, true);
         self.feeds.set_nodes_revision(listing.rows.revision);
         self.membership = Some(membership);
         if listing.complete {
@@ -185,25 +185,25 @@
 
     /// Reads the tables directly: a request waits for them, so the readers' updates come too late.
     fn load_now(&mut self) {
-        if self.catalog.is_none() || !self.registry.is_known() {
+        if self.catalog.is_none() || !self.registry.is_loaded() {
             self.feeds.load_once();
         }
     }
 
     fn tick(&mut self) {
         let now = Instant::now();
-        if self.registry.settle(now, self.sync.is_settled(now)) {
+        if self.registry.remove_expired(now, self.sync.is_settled(now)) {
             self.publish();
         }
-        let ready = self.catalog.is_some() && self.registry.is_known();
+        let ready = self.catalog.is_some() && self.registry.is_loaded();
         let Some(membership) = &mut self.membership else { return };
         if ready {
-            membership.ready();
+            membership.mark_ready();
         }
         if self.drain.is_draining() {
-            membership.leave(now);
+            membership.mark_draining(now);
         }
-        let lost = membership.tick(now, self.row.as_ref());
+        let failed = membership.tick(now, self.row.as_ref());
         let changed = membership.changed_nodes(now);
         if let Some(Nodes { ready, ranking, domains, scope }) = changed {
             self.scope = scope;
@@ -211,7 +211,7 @@
             self.feeds.set_readers(domains * READERS);
             self.set_nodes(ready);
         }
-        self.forward_failures(lost);
+        self.forward_failures(failed);
         self.step_sync(now);
         self.clean_up(now);
     }
@@ -228,7 +228,7 @@
         if self.cut_off != cut_off {
             self.cut_off = cut_off;
             if cut_off {
-                self.metrics.store_failed();
+                self.metrics.count_store_failure();
             }
             self.publish();
         }
@@ -236,10 +236,10 @@
 
     /// Deletes registrations of dead nodes, as the first reader of the domain.
     fn clean_up(&mut self, now: Instant) {
-        if now < self.cleaned + CLEANUP_EVERY {
+        if now < self.cleaned_at + CLEANUP_INTERVAL {
             return;
         }
-        self.cleaned = now;
+        self.cleaned_at = now;
         let Some(membership) = &mut self.membership else { return };
         if self.sync.is_first_reader() {
             let names = membership.stale_registrations(now);
@@ -255,7 +255,7 @@
         self.published.store(View {
             catalog: self.catalog.clone(),
             runners: self.registry.runners(),
-            listed: self.registry.is_known(),
+            listed: self.registry.is_loaded(),
             nodes: self.nodes.clone(),
             scope: self.scope,
             splits: self.splits.clone(),
--- a/crates/relay/src/control/catalog.rs
+++ b/crates/relay/src/control/catalog.rs
@@ -15,7 +15,7 @@
     pub(super) fn apply_operator_rows(&mut self, rows: &[Row]) {
         for row in rows {
             if row.key == R::CATALOG {
-                self.put_in_force(row);
+                self.apply_catalog(row);
             } else {
                 self.apply_rollout_order(row);
             }
@@ -24,7 +24,7 @@
 
     /// Applies a catalogue from the store or a peer. Only a newer one is applied, because responses
     /// may be reordered.
-    pub(super) fn put_in_force(&mut self, row: &Row) {
+    pub(super) fn apply_catalog(&mut self, row: &Row) {
         let Some(value) = &row.value else { return };
         if self.row.as_ref().is_some_and(|(held, _)| row.revision <= *held) {
             return;
--- a/crates/relay/src/control/feed.rs
+++ b/crates/relay/src/control/feed.rs
@@ -17,14 +17,14 @@
 /// Initial backoff; doubles with each failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 /// Maximum backoff of the watcher that detects the store's return.
-pub const PROBE_PAUSE: Duration = Duration::from_millis(800);
+pub const PROBE_BACKOFF_MAX: Duration = Duration::from_millis(800);
 /// Maximum backoff of all others, which are notified of it. They keep polling, because the store may
 /// reject a single table only.
-pub const REST_PAUSE: Duration = Duration::from_millis(3_200);
+pub const STANDBY_BACKOFF_MAX: Duration = Duration::from_millis(3_200);
 
 /// Age from which a pending poll is abandoned once another poll succeeds after an outage. A silent
 /// store never responds to it, and its timeout is long.
-const STALE_POLL: Duration = Duration::from_millis(500);
+const STALE_POLL_AGE: Duration = Duration::from_millis(500);
 
 /// An event of a table.
 #[derive(Clone, Debug)]
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug)]
 pub enum Change {
     /// Complete contents.
-    Whole(Rows),
+    Snapshot(Rows),
     /// Changed rows.
     Rows(Rows),
     /// The store became unavailable.
-    Down,
+    Unavailable,
     /// The store became available.
-    Up,
+    Available,
 }
 
 /// Watches one table while it is active.
@@ -57,17 +57,17 @@
     /// Table.
     pub table: T,
     /// Minimum interval of polls.
-    pub every: Duration,
+    pub min_interval: Duration,
     /// Long-poll wait; may change.
     pub wait: Rc<Cell<Duration>>,
     /// Maximum backoff.
-    pub pause: Duration,
+    pub max_backoff: Duration,
     /// Whether to poll.
     pub active: watch::Receiver<bool>,
     /// Revision up to which the table is known, if it is; may be advanced by others.
     pub revision: Rc<Cell<Option<Revision>>>,
     /// Counts the store's returns, as seen by any watcher.
-    pub returns: watch::Sender<u32>,
+    pub recoveries: watch::Sender<u32>,
     /// Metrics.
     pub metrics: Metrics,
 }
@@ -90,22 +90,22 @@
     async fn watch(&self, sender: &mpsc::Sender<FeedEvent<T>>) {
         let mut failures = 0;
         let mut first = true;
-        let mut returns = self.returns.subscribe();
+        let mut recoveries = self.recoveries.subscribe();
         loop {
-            returns.mark_unchanged();
+            recoveries.mark_unchanged();
             let asked = Instant::now();
             let wait = if first || failures > 0 { Duration::ZERO } else { self.wait.get() };
             let Some(response) = self.poll_unless_stale(wait).await else { continue };
             first = false;
-            self.metrics.store_polled(self.name, outcome(&response));
+            self.metrics.count_store_poll(self.name, outcome(&response));
             for change in self.changes(response, &mut failures) {
                 if sender.send(FeedEvent { table: self.table, change }).await.is_err() {
                     return;
                 }
             }
             match failures {
-                0 => sleep_until(asked + self.every).await,
-                failures => self.rest(failures, &mut returns).await,
+                0 => sleep_until(asked + self.min_interval).await,
+                failures => self.back_off(failures, &mut recoveries).await,
             }
         }
     }
@@ -115,14 +115,14 @@
         let mut changes = Vec::new();
         if response.is_ok() && *failures > 0 {
             log::info!(table = self.name; "{STORE_BACK}");
-            changes.push(Change::Up);
-            self.returns.send_modify(|count| *count += 1);
+            changes.push(Change::Available);
+            self.recoveries.send_modify(|count| *count += 1);
         }
         match response {
             Ok(rows) => {
                 *failures = 0;
-                let whole = self.revision.replace(Some(rows.revision)).is_none();
-                changes.push(if whole { Change::Whole(rows) } else { Change::Rows(rows) });
+                let is_first = self.revision.replace(Some(rows.revision)).is_none();
+                changes.push(if is_first { Change::Snapshot(rows) } else { Change::Rows(rows) });
             }
             Err(StoreError::Compacted) => {
                 log::info!(table = self.name; "store history compacted: reading the whole table");
@@ -131,7 +131,7 @@
             Err(error) => {
                 if *failures == 0 {
                     log::warn!(table = self.name; "{error}");
-                    changes.push(Change::Down);
+                    changes.push(Change::Unavailable);
                 }
                 *failures += 1;
             }
@@ -140,22 +140,22 @@
     }
 
     /// Backs off after a failure, or until another watcher has found the store available.
-    async fn rest(&self, failures: u32, returns: &mut watch::Receiver<u32>) {
+    async fn back_off(&self, failures: u32, recoveries: &mut watch::Receiver<u32>) {
         tokio::select! {
-            () = sleep(backoff(failures, self.pause)) => {}
+            () = sleep(backoff(failures, self.max_backoff)) => {}
             // The sender lives as long as `self`.
-            _ = returns.changed() => {}
+            _ = recoveries.changed() => {}
         }
     }
 
     /// Polls the store; `None` if another watcher found it back from an outage that may have
     /// swallowed the poll.
     async fn poll_unless_stale(&self, wait: Duration) -> Option<Result<Rows>> {
-        let mut returns = self.returns.subscribe();
+        let mut recoveries = self.recoveries.subscribe();
         let stale = async {
-            sleep(STALE_POLL).await;
+            sleep(STALE_POLL_AGE).await;
             // The sender lives as long as `self`.
-            _ = returns.changed().await;
+            _ = recoveries.changed().await;
         };
         tokio::select! {
             biased;
@@ -181,7 +181,7 @@
 }
 
 /// Jitter, so that nodes do not return all at once.
-fn backoff(failures: u32, most: Duration) -> Duration {
-    let pause = BACKOFF_MIN * 2u32.saturating_pow(failures.min(8) - 1);
-    pause.min(most).mul_f64(rand::rng().random_range(0.5..1.0))
+fn backoff(failures: u32, max_backoff: Duration) -> Duration {
+    let backoff = BACKOFF_MIN * 2u32.saturating_pow(failures.min(8) - 1);
+    backoff.min(max_backoff).mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/relay/src/control/feeds.rs
+++ b/crates/relay/src/control/feeds.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        feed::{FeedEvent, FeedWatcher, PROBE_PAUSE, REST_PAUSE},
+        feed::{FeedEvent, FeedWatcher, PROBE_BACKOFF_MAX, STANDBY_BACKOFF_MAX},
         join,
     },
     crate::{
@@ -29,7 +29,7 @@
 const RARE_WAIT: Duration = Duration::from_secs(30);
 /// Minimum interval of polls for node registrations, so that nodes starting together do not fetch
 /// each other's rows one by one.
-const NODES_EVERY: Duration = Duration::from_secs(2);
+const NODES_INTERVAL: Duration = Duration::from_secs(2);
 /// Interval of polls for runner registrations, as a share of the time in which a draining runner
 /// must get no new requests. The rest is for a poll that has to be repeated.
 const RUNNERS_SHARE: f64 = 0.45;
@@ -38,7 +38,7 @@
 
 /// A watched table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Watched {
+pub(super) enum WatchedTable {
     /// Replicated within the failure domain.
     Replicated(TableId),
     /// Registrations of nodes; gossip replicates them.
@@ -69,7 +69,7 @@
         settings: &Settings,
         store: &S,
         metrics: &Metrics,
-    ) -> (Feeds, mpsc::Receiver<FeedEvent<Watched>>, mpsc::Receiver<Loaded>) {
+    ) -> (Feeds, mpsc::Receiver<FeedEvent<WatchedTable>>, mpsc::Receiver<Loaded>) {
         let (sender, events) = mpsc::channel(EVENTS);
         let (loader, loaded) = mpsc::channel(EVENTS);
         let feeds = Feeds {
@@ -80,36 +80,40 @@
             runners_wait: Rc::new(Cell::new(RUNNERS_WAIT_MIN)),
             load: Rc::default(),
         };
-        let returns = watch::Sender::new(0);
-        let watch = |name, table, every, wait: &Rc<Cell<Duration>>| {
-            let (revision, pause, active) = match table {
-                Watched::Replicated(TableId::Operators) => {
-                    (feeds.revision(TableId::Operators), PROBE_PAUSE, &feeds.polling)
+        let recoveries = watch::Sender::new(0);
+        let watch = |name, table, min_interval, wait: &Rc<Cell<Duration>>| {
+            let (revision, max_backoff, active) = match table {
+                WatchedTable::Replicated(TableId::Operators) => {
+                    (feeds.revision(TableId::Operators), PROBE_BACKOFF_MAX, &feeds.polling)
+                }
+                WatchedTable::Replicated(id) => {
+                    (feeds.revision(id), STANDBY_BACKOFF_MAX, &feeds.reading)
+                }
+                WatchedTable::Nodes => {
+                    (feeds.nodes_revision.clone(), STANDBY_BACKOFF_MAX, &feeds.reading)
                 }
-                Watched::Replicated(id) => (feeds.revision(id), REST_PAUSE, &feeds.reading),
-                Watched::Nodes => (feeds.nodes_revision.clone(), REST_PAUSE, &feeds.reading),
             };
             let watcher = FeedWatcher {
                 store: store.clone(),
                 name,
                 table,
-                every,
+                min_interval,
                 wait: wait.clone(),
-                pause,
+                max_backoff,
                 active: active.subscribe(),
                 revision,
-                returns: returns.clone(),
+                recoveries: recoveries.clone(),
                 metrics: metrics.clone(),
             };
             tokio::task::spawn_local(watcher.run(sender.clone()));
         };
         let fixed = |wait| Rc::new(Cell::new(wait));
-        let replicated = Watched::Replicated;
+        let replicated = WatchedTable::Replicated;
         let runners_every = settings.bounds.leave().mul_f64(RUNNERS_SHARE);
         watch(R::ORDERS, replicated(TableId::Operators), Duration::ZERO, &fixed(OPERATORS_WAIT));
         watch(R::RUNNERS, replicated(TableId::Runners), runners_every, &feeds.runners_wait);
         watch(R::STATUS, replicated(TableId::Statuses), Duration::ZERO, &fixed(RARE_WAIT));
-        watch(join::TABLE, Watched::Nodes, NODES_EVERY, &fixed(RARE_WAIT));
+        watch(join::TABLE, WatchedTable::Nodes, NODES_INTERVAL, &fixed(RARE_WAIT));
         for (name, table) in [(R::ORDERS, TableId::Operators), (R::RUNNERS, TableId::Runners)] {
             let load = load(store.clone(), name, table, feeds.load.clone(), loader.clone());
             tokio::task::spawn_local(load);
--- a/crates/relay/src/control/gossip.rs
+++ b/crates/relay/src/control/gossip.rs
@@ -26,7 +26,9 @@
     }
 
     pub(super) fn handle_peer_event(&mut self, event: Received) {
-        let Received::Message { from, message } = event else { return self.pass_to_members(event) };
+        let Received::Message { from, message } = event else {
+            return self.handle_membership_event(event);
+        };
         match message {
             PeerMessage::Move(update) => {
                 self.rollouts.handle_peer_update(Instant::now(), &update);
@@ -42,22 +44,22 @@
             message @ (PeerMessage::Table(_)
             | PeerMessage::TablePull(_)
             | PeerMessage::StoreReport(_)) => self.sync_with(&from, message),
-            message => self.pass_to_members(Received::Message { from, message }),
+            message => self.handle_membership_event(Received::Message { from, message }),
         }
     }
 
-    fn pass_to_members(&mut self, event: Received) {
+    fn handle_membership_event(&mut self, event: Received) {
         if let Some(membership) = &mut self.membership {
-            let lost = membership.receive(Instant::now(), event, self.row.as_ref());
-            self.forward_failures(lost);
+            let failed = membership.receive(Instant::now(), event, self.row.as_ref());
+            self.forward_failures(failed);
         }
     }
 
     fn apply_gossiped_catalog(&mut self, push: CatalogPush) {
         let row =
             Row { key: R::CATALOG.into(), value: Some(push.doc.into()), revision: push.revision };
-        self.sync.gossiped(Instant::now(), row.clone());
-        self.put_in_force(&row);
+        self.sync.on_gossip(Instant::now(), row.clone());
+        self.apply_catalog(&row);
     }
 
     fn forward_load(&mut self, from: CompactString, load: Load) {
--- a/crates/relay/src/control/join.rs
+++ b/crates/relay/src/control/join.rs
@@ -25,12 +25,12 @@
 /// Prefix of the keys of node registrations, followed by the node's name.
 const NODE: &str = "node/";
 /// Delay before a failed call is retried; up to twice as much at random.
-const RETRY: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Time over which nodes spread when all start for the first time: they create the authority and
 /// register, and the store limits the rate of writes to a table.
-const SPREAD: Duration = Duration::from_millis(1_500);
+const START_SPREAD: Duration = Duration::from_millis(1_500);
 /// Time after its registration within which nodes that started with a new one are known.
-const SETTLE: Duration = Duration::from_millis(1_500);
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
 /// Progress of joining.
 pub(super) enum Progress {
@@ -58,17 +58,17 @@
     progress: mpsc::Sender<Progress>,
 ) {
     if settings.bootstrap {
-        sleep(SPREAD.mul_f64(rand::rng().random())).await;
+        sleep(START_SPREAD.mul_f64(rand::rng().random())).await;
     }
     let (authority, rows) = loop {
-        match authority(&store).await {
+        match load_authority(&store).await {
             Ok(found) => break found,
             Err(StoreError::Conflict) => {}
             Err(error) => {
                 log::warn!(table = TABLE; "cannot read the certificate authority: {error}");
                 // The control thread ends only when the node has drained.
                 _ = progress.send(Progress::Unavailable).await;
-                sleep(retry()).await;
+                sleep(retry_delay()).await;
             }
         }
     };
@@ -83,16 +83,16 @@
         return;
     }
     register(&store, row).await;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     _ = progress.send(Progress::Settled).await;
 }
 
-fn retry() -> Duration {
-    RETRY.mul_f64(rand::rng().random_range(1.0..2.0))
+fn retry_delay() -> Duration {
+    RETRY_DELAY.mul_f64(rand::rng().random_range(1.0..2.0))
 }
 
 /// Address in a row of the table; `None` if the row is no registration of a node.
-pub(super) fn address(row: &Row) -> Option<NodeAddress> {
+pub(super) fn parse_node_address(row: &Row) -> Option<NodeAddress> {
     serde_json::from_slice(row.value.as_ref()?).ok()
 }
 
@@ -116,7 +116,7 @@
 }
 
 /// Reads the table with the authority in it, or creates the authority.
-async fn authority<S: Store>(store: &S) -> Result<(Authority, Rows), StoreError> {
+async fn load_authority<S: Store>(store: &S) -> Result<(Authority, Rows), StoreError> {
     let rows = store.read(TABLE).await?;
     let row = rows.rows.iter().find(|r| r.key == AUTHORITY);
     if let Some(authority) = row.and_then(|r| Authority::parse(r.value.as_deref()?)) {
@@ -152,6 +152,6 @@
 async fn register<S: Store>(store: &S, row: Write) {
     while let Err(error) = store.write(std::slice::from_ref(&row)).await {
         log::warn!("cannot register this node: {error}");
-        sleep(retry()).await;
+        sleep(retry_delay()).await;
     }
 }
--- a/crates/relay/src/control/members.rs
+++ b/crates/relay/src/control/members.rs
@@ -34,7 +34,7 @@
 };
 
 /// Time after the start for which registered nodes without a heartbeat are ranked as readers.
-const RANK_UNSEEN: Duration = Duration::from_secs(3);
+const RANK_UNSEEN_PERIOD: Duration = Duration::from_secs(3);
 /// Time for which a node must be dead before its registration is deleted.
 const RETENTION: Duration = Duration::from_secs(600);
 /// Scheme of callers' addresses in the membership.
@@ -98,10 +98,10 @@
         authority: authority.certificate.clone().into_bytes(),
     };
     let (net, events) = PeerNet::start(&config)?;
-    let life = Life { epoch: wall(), incarnation: Incarnation(rand::random()) };
-    let named = Me { name: me.name.clone(), life, location: location(&me) };
+    let life = Life { epoch: unix_millis(), incarnation: Incarnation(rand::random()) };
+    let own_node = Me { name: me.name.clone(), life, location: location(&me) };
     let start = Instant::now();
-    let members = Members::new(rand::random(), start, named);
+    let members = Members::new(rand::random(), start, own_node);
     let membership = Membership {
         members,
         net,
@@ -121,7 +121,7 @@
 
 impl Membership {
     /// Marks this node as ready.
-    pub(super) fn ready(&mut self) {
+    pub(super) fn mark_ready(&mut self) {
         if !self.draining {
             self.members.ready();
             self.changed = true;
@@ -129,7 +129,7 @@
     }
 
     /// Marks this node as draining.
-    pub(super) fn leave(&mut self, now: Instant) {
+    pub(super) fn mark_draining(&mut self, now: Instant) {
         if !std::mem::replace(&mut self.draining, true) {
             self.members.drain(now);
             self.changed = true;
@@ -137,13 +137,13 @@
     }
 
     /// Applies registrations of nodes.
-    pub(super) fn list(&mut self, rows: &Rows, whole: bool) {
+    pub(super) fn apply_registrations(&mut self, rows: &Rows, whole: bool) {
         if whole {
             self.listed.clear();
         }
         for row in &rows.rows {
             let Some(name) = join::node_name(&row.key) else { continue };
-            match join::address(row) {
+            match join::parse_node_address(row) {
                 Some(node) => _ = self.listed.insert(name.into(), node),
                 None => _ = self.listed.remove(name),
             }
@@ -165,11 +165,11 @@
             self.members.set_revision(*revision, &mut out);
         }
         self.members.tick(now, &mut out);
-        let lost = self.carry_out(out, row);
-        if self.changed || self.routes.are_old(now) {
+        let failed = self.carry_out(out, row);
+        if self.changed || self.routes.are_stale(now) {
             self.update_routes(now);
         }
-        lost
+        failed
     }
 
     /// Handles a peer event; returns runners reported as failed.
@@ -191,7 +191,7 @@
 
     /// The nodes, if they changed since the last call.
     pub(super) fn changed_nodes(&mut self, now: Instant) -> Option<Nodes> {
-        let unseen = now < self.start + RANK_UNSEEN;
+        let unseen = now < self.start + RANK_UNSEEN_PERIOD;
         let expired = std::mem::replace(&mut self.ranks_unseen, unseen) && !unseen;
         if !std::mem::take(&mut self.changed) && !expired {
             return None;
@@ -266,12 +266,12 @@
         out: Vec<Output>,
         row: Option<&(Revision, Bytes)>,
     ) -> Vec<CompactString> {
-        let mut lost = Vec::new();
+        let mut failed = Vec::new();
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(&to, &message),
                 Output::PushCatalog(target) => {
-                    if let Some(message) = row.and_then(push) {
+                    if let Some(message) = row.and_then(catalog_push) {
                         self.send(&[target], &message);
                     }
                 }
@@ -283,14 +283,14 @@
                         _ => _ = self.dead.remove(&name),
                     }
                 }
-                Output::Hint(hint) => lost.push(hint.runner),
+                Output::Hint(hint) => failed.push(hint.runner),
             }
         }
-        lost
+        failed
     }
 }
 
-fn push((revision, value): &(Revision, Bytes)) -> Option<PeerMessage> {
+fn catalog_push((revision, value): &(Revision, Bytes)) -> Option<PeerMessage> {
     let doc = String::from_utf8(value.to_vec()).ok()?;
     Some(PeerMessage::CatalogPush(CatalogPush { revision: *revision, doc }))
 }
@@ -320,7 +320,7 @@
 
 /// Milliseconds since the Unix epoch. Orders incarnations only; the membership repairs a clock that
 /// was set back.
-fn wall() -> u64 {
+fn unix_millis() -> u64 {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     time.unwrap_or_default().as_millis() as u64
 }
--- a/crates/relay/src/control/members/send.rs
+++ b/crates/relay/src/control/members/send.rs
@@ -18,7 +18,7 @@
 /// Maximum number of nodes for which messages are sent to all; above it, to heartbeat targets.
 const FULL_MESH_LIMIT: usize = 100;
 /// Maximum age of [`Routes`] while no node changes its state; a node may change its address.
-const ROUTES_AGE: Duration = Duration::from_millis(250);
+const MAX_ROUTES_AGE: Duration = Duration::from_millis(250);
 
 /// Receivers of this node's messages.
 pub(super) struct Routes {
@@ -42,8 +42,8 @@
     }
 
     /// Whether they should be computed anew.
-    pub(super) fn are_old(&self, now: Instant) -> bool {
-        now >= self.at + ROUTES_AGE
+    pub(super) fn are_stale(&self, now: Instant) -> bool {
+        now >= self.at + MAX_ROUTES_AGE
     }
 }
 
@@ -192,7 +192,7 @@
 
     pub(super) fn send(&self, to: &[Target], message: &PeerMessage) {
         match self.net.send(to, message) {
-            Ok(bytes) => self.metrics.peer_sent(message, bytes * to.len()),
+            Ok(bytes) => self.metrics.count_peer_bytes(message, bytes * to.len()),
             Err(error) => log::warn!("cannot encode a peer message: {error}"),
         }
     }
--- a/crates/relay/src/control/registry.rs
+++ b/crates/relay/src/control/registry.rs
@@ -9,7 +9,7 @@
 };
 
 /// Time after an outage within which a restarted runner re-registers.
-const RELIST: Duration = Duration::from_millis(2_500);
+const REREGISTER_TIME: Duration = Duration::from_millis(2_500);
 
 /// All registrations.
 ///
@@ -47,7 +47,7 @@
     }
 
     /// Whether a list was ever loaded.
-    pub fn is_known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.published.is_some()
     }
 
@@ -64,19 +64,19 @@
         grace: Duration,
         records: &R,
     ) -> bool {
-        rows.iter().for_each(|row| self.take(now, row, grace, records));
+        rows.iter().for_each(|row| self.apply_row(now, row, grace, records));
         self.publish()
     }
 
     /// Removes entries that did not return in time; returns whether there were any. `settled` tells
     /// whether the store is available and all live runners are registered there.
-    pub fn settle(&mut self, now: Instant, settled: bool) -> bool {
+    pub fn remove_expired(&mut self, now: Instant, settled: bool) -> bool {
         if !self.unsettled {
             return false;
         }
         for entry in self.entries.values_mut() {
             if settled && entry.presence == Presence::Adopted {
-                entry.presence = Presence::Missing(now + RELIST);
+                entry.presence = Presence::Missing(now + REREGISTER_TIME);
             }
         }
         let before = self.entries.len();
@@ -121,7 +121,7 @@
         self.unsettled = true;
     }
 
-    fn take<R: Records>(&mut self, now: Instant, row: &Row, grace: Duration, records: &R) {
+    fn apply_row<R: Records>(&mut self, now: Instant, row: &Row, grace: Duration, records: &R) {
         let Some(value) = &row.value else { return self.remove(now, &row.key, grace) };
         match records.parse_registration(&row.key, value) {
             Ok(registration) => self.register(registration),
@@ -160,7 +160,7 @@
     }
 
     fn publish(&mut self) -> bool {
-        let runners = living(self.entries.values().map(|e| &e.registration));
+        let runners = without_replaced(self.entries.values().map(|e| &e.registration));
         let changed = self.published.as_ref().is_none_or(|old| **old != runners);
         if changed {
             self.published = Some(Arc::new(runners));
@@ -171,7 +171,9 @@
 
 /// Drops runners whose address belongs to a newer registration. The entry of a restarted runner
 /// stays until it expires, and requests for the old id would be rejected.
-fn living<'a>(entries: impl Iterator<Item = &'a Registration> + Clone) -> Vec<Registration> {
+fn without_replaced<'a>(
+    entries: impl Iterator<Item = &'a Registration> + Clone,
+) -> Vec<Registration> {
     let mut newest = BTreeMap::<_, u64>::new();
     for entry in entries.clone() {
         let born = newest.entry(entry.address).or_default();
--- a/crates/relay/src/control/rollouts.rs
+++ b/crates/relay/src/control/rollouts.rs
@@ -20,7 +20,7 @@
             let runners = self.registry.runners();
             let new = runners.iter().filter(|r| r.service == service && r.version == to);
             let ready = new.filter(|r| r.state == State::Ready).count();
-            self.rollouts.runners(&service, ready);
+            self.rollouts.set_ready_runners(&service, ready);
         }
         let name = self.membership.as_ref().map(Membership::name);
         let mut names: Vec<&CompactString> = self.nodes.iter().map(|n| &n.name).collect();
@@ -28,13 +28,13 @@
         let rank = names.iter().position(|n| Some(*n) == name).unwrap_or(names.len());
         for action in self.rollouts.tick(Instant::now(), rank, names.len()) {
             match action {
-                Action::Tell(news) => self.broadcast_rollout(news),
-                Action::Write { record, expected } => {
-                    let (key, value) = self.records.encode_status(&record);
+                Action::Broadcast(news) => self.broadcast_rollout(news),
+                Action::Write { status, expected } => {
+                    let (key, value) = self.records.encode_status(&status);
                     let table = R::STATUS.into();
                     let expected = Some(expected);
                     let row = Write { table, key, value: Some(value), expected };
-                    tokio::task::spawn_local(write_record(self.store.clone(), row));
+                    tokio::task::spawn_local(write_status(self.store.clone(), row));
                 }
             }
         }
@@ -55,7 +55,7 @@
     pub(super) fn apply_rollout_order(&mut self, row: &Row) {
         let Some(value) = &row.value else { return };
         match self.records.parse_order(&row.key, value) {
-            Some(Ok(order)) => self.rollouts.order(Instant::now(), row.revision, order),
+            Some(Ok(order)) => self.rollouts.apply_order(Instant::now(), row.revision, order),
             Some(Err(error)) => {
                 log::warn!(key = row.key.as_str(); "invalid rollout order: {error}");
             }
@@ -67,7 +67,7 @@
         for row in rows {
             let value = row.value.as_deref().unwrap_or_default();
             match self.records.parse_status(&row.key, value) {
-                Some(Ok(record)) => self.rollouts.record(row.revision, record),
+                Some(Ok(status)) => self.rollouts.apply_status(row.revision, status),
                 Some(Err(error)) => {
                     log::warn!(key = row.key.as_str(); "invalid rollout status: {error}");
                 }
@@ -78,7 +78,7 @@
 }
 
 /// Writes a status. The rollout retries a failed write.
-async fn write_record<S: Store>(store: S, row: Write) {
+async fn write_status<S: Store>(store: S, row: Write) {
     match store.write(std::slice::from_ref(&row)).await {
         Ok(_) => log::info!(key = row.key.as_str(); "rollout status written"),
         Err(error) => log::warn!(key = row.key.as_str(); "cannot write a rollout status: {error}"),
--- a/crates/relay/src/control/tables.rs
+++ b/crates/relay/src/control/tables.rs
@@ -4,7 +4,7 @@
     super::{
         Control,
         feed::{Change, FeedEvent},
-        feeds::{Loaded, Watched},
+        feeds::{Loaded, WatchedTable},
     },
     crate::{
         records::Records,
@@ -18,12 +18,12 @@
 };
 
 impl<R: Records, S: Store> Control<R, S> {
-    pub(super) fn apply_event(&mut self, FeedEvent { table, change }: FeedEvent<Watched>) {
+    pub(super) fn apply_event(&mut self, FeedEvent { table, change }: FeedEvent<WatchedTable>) {
         match table {
-            Watched::Nodes => self.apply_nodes(&change),
-            Watched::Replicated(table) => {
+            WatchedTable::Nodes => self.apply_nodes(&change),
+            WatchedTable::Replicated(table) => {
                 let mut out = Vec::new();
-                self.sync.polled(Instant::now(), table, change, &mut out);
+                self.sync.on_poll(Instant::now(), table, change, &mut out);
                 self.carry_out(out);
                 self.step_sync(Instant::now());
             }
@@ -35,7 +35,7 @@
         match rows {
             Ok(rows) => {
                 let mut out = Vec::new();
-                self.sync.loaded(Instant::now(), table, rows, &mut out);
+                self.sync.on_load(Instant::now(), table, rows, &mut out);
                 self.carry_out(out);
             }
             Err(error) => {
@@ -48,8 +48,10 @@
     fn apply_nodes(&mut self, change: &Change) {
         let Some(membership) = &mut self.membership else { return };
         match change {
-            Change::Whole(rows) => membership.list(rows, true),
-            Change::Rows(rows) if !rows.rows.is_empty() => membership.list(rows, false),
+            Change::Snapshot(rows) => membership.apply_registrations(rows, true),
+            Change::Rows(rows) if !rows.rows.is_empty() => {
+                membership.apply_registrations(rows, false)
+            }
             _ => {}
         }
     }
@@ -69,7 +71,7 @@
     /// Handles a peer's message about the tables.
     pub(super) fn sync_with(&mut self, from: &CompactString, message: PeerMessage) {
         let mut out = Vec::new();
-        self.sync.received(Instant::now(), from, message, &mut out);
+        self.sync.on_message(Instant::now(), from, message, &mut out);
         self.carry_out(out);
     }
 
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -10,11 +10,11 @@
 };
 
 /// Reserve before the kill for final responses and the leave message.
-const RESERVE: Duration = Duration::from_millis(800);
+const KILL_RESERVE: Duration = Duration::from_millis(800);
 /// Callers may keep an address response for this multiple of its time to live.
-const KEPT: u32 = 3;
+const ADDRESS_TTL_MULTIPLE: u32 = 3;
 /// Share of the grace period after which new streams are rejected, since most would not finish.
-const LAST_STREAM: f64 = 0.25;
+const STREAM_CUTOFF_SHARE: f64 = 0.25;
 
 /// Drain state of this node. Clones share it.
 #[derive(Clone)]
@@ -56,16 +56,16 @@
     pub fn outlives_grace(&self, deadline: Instant) -> bool {
         let Some(at) = *self.started.borrow() else { return false };
         let now = Instant::now();
-        deadline > at + self.grace && now > at + self.grace.mul_f64(LAST_STREAM)
+        deadline > at + self.grace && now > at + self.grace.mul_f64(STREAM_CUTOFF_SHARE)
     }
 
     /// Time at which address responses naming this node have expired.
     pub fn addresses_expire(at: Instant, ttl: Duration) -> Instant {
-        at + ttl * KEPT
+        at + ttl * ADDRESS_TTL_MULTIPLE
     }
 
     /// Time at which the process must exit.
     pub fn kill_deadline(&self, at: Instant) -> Instant {
-        at + self.grace.saturating_sub(RESERVE)
+        at + self.grace.saturating_sub(KILL_RESERVE)
     }
 }
--- a/crates/relay/src/fanout.rs
+++ b/crates/relay/src/fanout.rs
@@ -20,7 +20,7 @@
 const GROUP_SIZE: usize = 20;
 /// Relays of a node in each other domain or group. They take turns, so that an undetected failed one costs
 /// its domain the updates of one epoch, and connections to them stay open.
-const RELAYS: usize = 3;
+const RELAYS_PER_GROUP: usize = 3;
 /// Length of a relay's turn.
 const EPOCH: Duration = Duration::from_secs(1);
 
@@ -93,8 +93,8 @@
                 fanout.local.push(peer.target);
                 continue;
             }
-            let mark = xxh64(peer.target.name.as_bytes(), seed);
-            domains.entry(peer.domain.clone()).or_default().push((mark, peer));
+            let hash = xxh64(peer.target.name.as_bytes(), seed);
+            domains.entry(peer.domain.clone()).or_default().push((hash, peer));
         }
         fanout.relays.extend(domains.into_values().filter_map(|peers| relay(peers, epoch)));
         fanout
@@ -113,8 +113,8 @@
             let count = group_count(peers.len() + usize::from(name == domain));
             let mut groups = vec![Vec::new(); count as usize];
             for peer in peers {
-                let mark = xxh64(peer.target.name.as_bytes(), seed);
-                groups[group(&peer.target.name, count) as usize].push((mark, peer.clone()));
+                let hash = xxh64(peer.target.name.as_bytes(), seed);
+                groups[group(&peer.target.name, count) as usize].push((hash, peer.clone()));
             }
             let relays = groups.into_iter().map(|peers| Some(relay(peers, epoch)?.target));
             (name, relays.collect())
@@ -131,8 +131,8 @@
 
 /// The candidate whose turn it is, of those with the lowest marks.
 fn relay(mut candidates: Vec<(u64, Peer)>, epoch: u64) -> Option<Peer> {
-    candidates.sort_unstable_by_key(|(mark, _)| *mark);
-    let turn = epoch as usize % candidates.len().clamp(1, RELAYS);
+    candidates.sort_unstable_by_key(|(hash, _)| *hash);
+    let turn = epoch as usize % candidates.len().clamp(1, RELAYS_PER_GROUP);
     (turn < candidates.len()).then(|| candidates.swap_remove(turn).1)
 }
 
@@ -143,8 +143,8 @@
 
 /// The group of a node or runner, by rendezvous hashing: few change theirs when `count` changes.
 fn group(name: &str, count: u32) -> u32 {
-    let mark = |index: &u32| xxh64(name.as_bytes(), u64::from(*index) + 1);
-    (0..count).max_by_key(mark).unwrap_or_default()
+    let hash = |index: &u32| xxh64(name.as_bytes(), u64::from(*index) + 1);
+    (0..count).max_by_key(hash).unwrap_or_default()
 }
 
 /// Epoch at `now` of a node started at `start`.
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -33,7 +33,7 @@
 };
 
 /// Minimum time between two identity checks of the same unlisted runner.
-const MEET_AGAIN: Duration = Duration::from_secs(1);
+const IDENTITY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 new_key_type! {
     /// A runner in one incarnation.
@@ -52,7 +52,7 @@
 #[derive(Default)]
 struct Inner {
     /// Whether a registration list was ever applied.
-    known: bool,
+    loaded: bool,
     runners: SlotMap<RunnerKey, Runner>,
     by_id: FxHashMap<CompactString, RunnerKey>,
     services: FxHashMap<CompactString, Vec<RunnerKey>>,
@@ -69,7 +69,7 @@
     /// Which loads peers report.
     scope: Scope,
     /// Unlisted runners seen at known addresses, with the time of the last identity check.
-    strangers: FxHashMap<CompactString, Instant>,
+    identity_checks: FxHashMap<CompactString, Instant>,
 }
 
 struct Runner {
@@ -79,7 +79,7 @@
     pool: Pool,
     health: Health,
     /// Load of this node's streams.
-    own: Load,
+    own_load: Load,
     /// Calls of this node in flight, for plain services.
     calls: u32,
     /// Load reported by peers.
@@ -134,7 +134,7 @@
     /// closed; requests in flight continue.
     pub fn update(&self, registrations: &[Registration]) {
         let inner = &mut *self.inner.borrow_mut();
-        inner.known = true;
+        inner.loaded = true;
         let listed: FxHashSet<&str> = registrations.iter().map(|r| r.id.as_str()).collect();
         let gone: Vec<CompactString> =
             inner.by_id.keys().filter(|id| !listed.contains(id.as_str())).cloned().collect();
@@ -153,12 +153,12 @@
     }
 
     /// Whether a registration list was ever applied.
-    pub fn is_known(&self) -> bool {
-        self.inner.borrow().known
+    pub fn is_loaded(&self) -> bool {
+        self.inner.borrow().loaded
     }
 
     /// Whether a failure domain differs from this node's.
-    pub fn is_far(&self, domain: &CompactString) -> bool {
+    pub fn is_remote(&self, domain: &CompactString) -> bool {
         self.inner.borrow().domain != *domain
     }
 
@@ -168,15 +168,20 @@
     }
 
     /// Returns a connection to the runner's pool.
-    pub fn return_connection(&self, key: RunnerKey, line: Connection, limit: Option<Duration>) {
+    pub fn return_connection(
+        &self,
+        key: RunnerKey,
+        connection: Connection,
+        limit: Option<Duration>,
+    ) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            runner.pool.put(Instant::now(), line, limit);
+            runner.pool.put(Instant::now(), connection, limit);
         }
     }
 
-    fn change(&self, key: RunnerKey, change: impl FnOnce(&mut Load)) {
+    fn update_own_load(&self, key: RunnerKey, change: impl FnOnce(&mut Load)) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            change(&mut runner.own);
+            change(&mut runner.own_load);
             runner.dirty = true;
             self.changed.notify_one();
         }
@@ -208,7 +213,7 @@
     /// Records a response from a runner.
     pub fn record_response(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            runner.health.alive(now);
+            runner.health.record_response(now);
         }
     }
 
@@ -229,7 +234,7 @@
     /// shows that the domain is back.
     pub fn record_replacement(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            runner.health.failed(now);
+            runner.health.record_failure(now);
             runner.pool.clear();
         }
         self.lost.notify_waiters();
@@ -247,10 +252,10 @@
     }
 
     /// Whether an id is unlisted and not checked recently; marks it as checked.
-    pub fn is_stranger(&self, id: &CompactString, now: Instant) -> bool {
+    pub fn begin_identity_check(&self, id: &CompactString, now: Instant) -> bool {
         let inner = &mut *self.inner.borrow_mut();
-        inner.strangers.retain(|_, met| now < *met + MEET_AGAIN);
-        !inner.by_id.contains_key(id) && inner.strangers.insert(id.clone(), now).is_none()
+        inner.identity_checks.retain(|_, checked_at| now < *checked_at + IDENTITY_CHECK_INTERVAL);
+        !inner.by_id.contains_key(id) && inner.identity_checks.insert(id.clone(), now).is_none()
     }
 
     /// Records that another incarnation responds at a runner's address.
@@ -262,7 +267,7 @@
     /// Records that a runner rejected a request for lack of capacity.
     pub fn record_overload(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            runner.health.full(now);
+            runner.health.record_overload(now);
         }
     }
 
@@ -272,12 +277,12 @@
     }
 
     /// Number of runners of a service that accept requests of this node now.
-    pub fn ready(&self, service: &str) -> usize {
+    pub fn ready_count(&self, service: &str) -> usize {
         let now = Instant::now();
         let inner = self.inner.borrow();
         let keys = inner.services.get(service).into_iter().flatten();
         let runners = keys.map(|key| &inner.runners[*key]);
-        runners.filter(|runner| runner.is_open(now)).count()
+        runners.filter(|runner| runner.accepts_requests(now)).count()
     }
 }
 
@@ -300,7 +305,7 @@
             address_hash: xxh64(registration.address.to_string().as_bytes(), 0),
             pool: Pool::default(),
             health: Health::default(),
-            own: Load::default(),
+            own_load: Load::default(),
             calls: 0,
             peer_loads: PeerLoads::default(),
             dirty: false,
@@ -314,7 +319,7 @@
 
     fn record_failure(&mut self, key: RunnerKey, now: Instant) {
         let Some(runner) = self.runners.get_mut(key) else { return };
-        runner.health.failed(now);
+        runner.health.record_failure(now);
         runner.pool.clear();
         self.failures.push(runner.registration.id.clone());
         self.suspect_neighbours(key, now);
@@ -331,9 +336,9 @@
             near.registration.domain == *domain && near.is_ready()
         });
         let near: Vec<RunnerKey> = near.collect();
-        let failed = near.iter().filter(|k| self.runners[**k].health.failed_recently(now));
+        let failed = near.iter().filter(|k| self.runners[**k].health.has_failed_recently(now));
         if health::is_domain_suspect(failed.count(), near.len()) {
-            near.iter().for_each(|k| self.runners[*k].health.suspect(now));
+            near.iter().for_each(|k| self.runners[*k].health.mark_suspect(now));
         }
     }
 }
--- a/crates/relay/src/fleet/choose.rs
+++ b/crates/relay/src/fleet/choose.rs
@@ -12,29 +12,29 @@
 /// Score of one token of KV memory, relative to one token of unread prompt.
 const MEMORY_WEIGHT: f64 = 0.02;
 /// Share of a runner's memory below which memory pressure is not scored.
-const ROOMY: f64 = 0.6;
+const MEMORY_PRESSURE_SHARE: f64 = 0.6;
 /// Score of one token of memory above that share, where runs get preempted.
-const SHORT_WEIGHT: f64 = 1.0;
+const MEMORY_PRESSURE_WEIGHT: f64 = 1.0;
 /// Score of one running stream, in prompt tokens: prefill slows every stream of its runner.
 const RUNNING_WEIGHT: f64 = 2_000.0;
 /// Number of preferred runners of a prompt, by rendezvous hashing. A resumed stream looks for its
 /// cached prompt on these only.
-const PREFERRED: usize = 24;
+const PREFERRED_COUNT: usize = 24;
 /// Score bonus of a preferred runner, in prompt tokens.
 const PREFERRED_BONUS: f64 = 4_000.0;
 /// Score of an engine in another failure domain, in running streams.
-const FAR_STREAM: f64 = 0.75;
+const REMOTE_STREAMS: f64 = 0.75;
 /// Share of a plain runner's slots that is used before calls leave this node's failure domain.
-const FAR_SLOTS: f64 = 0.5;
+const REMOTE_SLOTS_SHARE: f64 = 0.5;
 /// Score of an ejected runner; exceeds any load.
-const EJECTED: f64 = 1e9;
-/// Share of [`EJECTED`] for an unstable runner where a stable one is requested.
-const UNSTABLE: f64 = 0.5;
-/// Share of [`EJECTED`] for a runner in the avoided failure domain. Exceeds [`UNSTABLE`], so that a
+const EJECTED_SCORE: f64 = 1e9;
+/// Share of [`EJECTED_SCORE`] for an unstable runner where a stable one is requested.
+const UNSTABLE_SHARE: f64 = 0.5;
+/// Share of [`EJECTED_SCORE`] for a runner in the avoided failure domain. Exceeds [`UNSTABLE_SHARE`], so that a
 /// replica leaves its run's domain even when the other domains have just recovered.
-const SAME_DOMAIN: f64 = 0.75;
+const SAME_DOMAIN_SHARE: f64 = 0.75;
 /// Random part of a score, in prompt tokens; breaks ties differently on each node.
-const NOISE: f64 = 100.0;
+const SCORE_JITTER: f64 = 100.0;
 
 /// Requirements of a request.
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +48,7 @@
     /// KV memory of an engine of the service in tokens; 0 for plain services.
     pub memory: u32,
     /// Failure domain to avoid.
-    pub away: Option<&'a str>,
+    pub avoid_domain: Option<&'a str>,
     /// Version constraint.
     pub version: Option<Version<'a>>,
     /// Whether recently failed runners should be avoided.
@@ -80,13 +80,13 @@
         let now = Instant::now();
         let mut random = self.random.borrow_mut();
         let keys = inner.services.get(criteria.service)?.iter().copied();
-        let open = keys.filter(|k| inner.is_open(*k, criteria, now));
+        let open = keys.filter(|k| inner.is_eligible(*k, criteria, now));
         let preferred = inner.preferred(criteria);
         let mean = inner.mean_load(criteria, now);
         let mut score = |k| {
             let is_preferred = preferred.contains(&k) && inner.is_reported(k);
             let bonus = if is_preferred { PREFERRED_BONUS } else { 0.0 };
-            inner.score(k, criteria, mean, now) - bonus + random.random_range(0.0..NOISE)
+            inner.score(k, criteria, mean, now) - bonus + random.random_range(0.0..SCORE_JITTER)
         };
         let scored = open.map(|k| (k, score(k)));
         let (key, _) = scored.min_by(|(_, a), (_, b)| a.total_cmp(b))?;
@@ -99,7 +99,7 @@
         let now = Instant::now();
         let preferred = inner.preferred(criteria).into_iter();
         let sound = preferred.filter(|k| {
-            inner.is_open(*k, criteria, now) && !inner.runners[*k].health.is_ejected(now)
+            inner.is_eligible(*k, criteria, now) && !inner.runners[*k].health.is_ejected(now)
         });
         sound.map(|key| inner.endpoint(key)).collect()
     }
@@ -122,36 +122,36 @@
     fn preferred(&self, criteria: &Criteria<'_>) -> Vec<RunnerKey> {
         let Some(prompt) = criteria.prompt else { return Vec::new() };
         let keys = self.services.get(criteria.service).into_iter().flatten();
-        let mark = |k: &RunnerKey| xxh64(&self.runners[*k].address_hash.to_le_bytes(), prompt);
-        let mut ranked: Vec<(u64, RunnerKey)> = keys.map(|k| (mark(k), *k)).collect();
-        if ranked.len() > PREFERRED {
-            ranked.select_nth_unstable_by_key(PREFERRED, |(mark, _)| Reverse(*mark));
-            ranked.truncate(PREFERRED);
+        let hash = |k: &RunnerKey| xxh64(&self.runners[*k].address_hash.to_le_bytes(), prompt);
+        let mut ranked: Vec<(u64, RunnerKey)> = keys.map(|k| (hash(k), *k)).collect();
+        if ranked.len() > PREFERRED_COUNT {
+            ranked.select_nth_unstable_by_key(PREFERRED_COUNT, |(hash, _)| Reverse(*hash));
+            ranked.truncate(PREFERRED_COUNT);
         }
         ranked.into_iter().map(|(_, key)| key).collect()
     }
 
-    fn is_open(&self, key: RunnerKey, criteria: &Criteria<'_>, now: Instant) -> bool {
+    fn is_eligible(&self, key: RunnerKey, criteria: &Criteria<'_>, now: Instant) -> bool {
         let runner = &self.runners[key];
         let registration = &runner.registration;
-        runner.is_open(now)
+        runner.accepts_requests(now)
             && !criteria.except.contains(&key)
             && criteria.version.is_none_or(|v| v.allows(&registration.version))
     }
 
     fn score(&self, key: RunnerKey, criteria: &Criteria<'_>, mean: f64, now: Instant) -> f64 {
         let runner = &self.runners[key];
-        let near = criteria.away == Some(runner.registration.domain.as_str());
+        let near = criteria.avoid_domain == Some(runner.registration.domain.as_str());
         let health = match runner.health {
             health if health.is_ejected(now) => 1.0,
-            health if criteria.stable && health.is_unstable(now) => UNSTABLE,
+            health if criteria.stable && health.is_unstable(now) => UNSTABLE_SHARE,
             _ => 0.0,
         };
-        let near = if near { SAME_DOMAIN } else { 0.0 };
+        let near = if near { SAME_DOMAIN_SHARE } else { 0.0 };
         let calls = f64::from(runner.calls) * RUNNING_WEIGHT;
         let load = runner.load(now).weight(criteria.memory) + calls;
         let unreported = if self.is_reported(key) { 0.0 } else { mean };
-        load + unreported + self.distance(key, criteria) + EJECTED * (health + near)
+        load + unreported + self.distance(key, criteria) + EJECTED_SCORE * (health + near)
     }
 
     /// Whether peers report the load of a runner to this node.
@@ -182,8 +182,8 @@
             return 0.0;
         }
         let streams = match criteria.memory {
-            0 => f64::from(registration.slots) * FAR_SLOTS,
-            _ => FAR_STREAM,
+            0 => f64::from(registration.slots) * REMOTE_SLOTS_SHARE,
+            _ => REMOTE_STREAMS,
         };
         streams * RUNNING_WEIGHT
     }
@@ -203,10 +203,10 @@
     /// Score of the load, in prompt tokens.
     fn weight(self, capacity: u32) -> f64 {
         let memory = f64::from(self.memory);
-        let short = (memory - f64::from(capacity) * ROOMY).max(0.0);
+        let excess = (memory - f64::from(capacity) * MEMORY_PRESSURE_SHARE).max(0.0);
         f64::from(self.unread)
             + memory * MEMORY_WEIGHT
-            + short * SHORT_WEIGHT
+            + excess * MEMORY_PRESSURE_WEIGHT
             + f64::from(self.running) * RUNNING_WEIGHT
     }
 }
--- a/crates/relay/src/fleet/drain.rs
+++ b/crates/relay/src/fleet/drain.rs
@@ -12,7 +12,7 @@
 };
 
 /// Age up to which an announcement is repeated to peers, for those that missed the first report.
-const REPEAT: Duration = Duration::from_secs(2);
+const REPEAT_PERIOD: Duration = Duration::from_secs(2);
 
 /// An announcement received by this node or a peer.
 #[derive(Clone, Copy, Debug)]
@@ -46,7 +46,7 @@
     /// Announcements that peers may have missed.
     pub(super) fn recent_drain_notices(&self) -> Vec<DrainNotice> {
         let now = Instant::now();
-        self.drain_notices(|drain| drain.own && now < drain.at + REPEAT)
+        self.drain_notices(|drain| drain.own && now < drain.at + REPEAT_PERIOD)
     }
 
     fn drain_notices(&self, relevant: impl Fn(&mut Announcement) -> bool) -> Vec<DrainNotice> {
--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -31,14 +31,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     last_seen: Option<Instant>,
-    failed: Option<Instant>,
+    failed_at: Option<Instant>,
     cooldown: Duration,
     ejected_until: Option<Instant>,
 }
 
 impl Health {
     /// The runner responded.
-    pub fn alive(&mut self, now: Instant) {
+    pub fn record_response(&mut self, now: Instant) {
         *self = Health { last_seen: Some(now), ..Health::default() };
     }
 
@@ -48,26 +48,26 @@
     }
 
     /// The runner failed.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.cooldown = (self.cooldown * 2).clamp(COOLDOWN_MIN, COOLDOWN_MAX);
-        self.failed = Some(now);
+        self.failed_at = Some(now);
         self.eject_until(now + self.cooldown);
     }
 
     /// The runner had no capacity.
-    pub fn full(&mut self, now: Instant) {
+    pub fn record_overload(&mut self, now: Instant) {
         self.eject_until(now + OVERLOAD_COOLDOWN);
     }
 
     /// A peer reported a failure; ignored after a recent response.
-    pub fn on_peer_failure(&mut self, now: Instant) {
+    pub fn record_peer_failure(&mut self, now: Instant) {
         if self.last_seen.is_none_or(|last_seen| now >= last_seen + RECENT) {
-            self.failed(now);
+            self.record_failure(now);
         }
     }
 
     /// Other runners of the failure domain failed; ignored after a recent response.
-    pub fn suspect(&mut self, now: Instant) {
+    pub fn mark_suspect(&mut self, now: Instant) {
         if self.last_seen.is_none_or(|last_seen| now >= last_seen + RECENT) {
             self.eject_until(now + SUSPECT_COOLDOWN);
         }
@@ -75,12 +75,12 @@
 
     /// Whether it failed and has not responded since.
     pub fn has_failed(&self) -> bool {
-        self.failed.is_some()
+        self.failed_at.is_some()
     }
 
     /// Whether it failed within [`FAILURE_WINDOW`].
-    pub fn failed_recently(&self, now: Instant) -> bool {
-        self.failed.is_some_and(|at| now < at + FAILURE_WINDOW)
+    pub fn has_failed_recently(&self, now: Instant) -> bool {
+        self.failed_at.is_some_and(|at| now < at + FAILURE_WINDOW)
     }
 
     /// Whether it is in a cool-down.
--- a/crates/relay/src/fleet/lease.rs
+++ b/crates/relay/src/fleet/lease.rs
@@ -19,19 +19,19 @@
     /// One call to a plain service.
     Call,
     /// Load on an engine.
-    Work(Load),
+    Load(Load),
 }
 
 impl Fleet {
     /// Leases part of an engine; the change goes into the next update to peers.
     pub fn lease(&self, endpoint: Endpoint, load: Load) -> Lease {
-        self.change(endpoint.key, |own| *own += load);
-        Lease { fleet: self.clone(), endpoint, claim: Claim::Work(load) }
+        self.update_own_load(endpoint.key, |own| *own += load);
+        Lease { fleet: self.clone(), endpoint, claim: Claim::Load(load) }
     }
 
     /// Leases a slot of a plain runner for one call. Calls are not reported to peers: most end
     /// before the report would arrive, and a full runner rejects the next one itself.
-    pub fn call(&self, endpoint: Endpoint) -> Lease {
+    pub fn lease_call(&self, endpoint: Endpoint) -> Lease {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(endpoint.key) {
             runner.calls += 1;
         }
@@ -47,15 +47,15 @@
 
 impl Lease {
     /// Records a response from the runner.
-    pub fn alive(&self) {
+    pub fn record_response(&self) {
         self.fleet.record_response(self.endpoint.key, Instant::now());
     }
 
     /// Marks the prompt as prefilled after the first output.
-    pub fn read(&mut self) {
-        if let Claim::Work(load) = &mut self.claim {
+    pub fn mark_prefilled(&mut self) {
+        if let Claim::Load(load) = &mut self.claim {
             let read = Load { unread: std::mem::take(&mut load.unread), ..Load::default() };
-            self.fleet.change(self.endpoint.key, |own| *own -= read);
+            self.fleet.update_own_load(self.endpoint.key, |own| *own -= read);
         }
     }
 }
@@ -63,7 +63,7 @@
 impl Drop for Lease {
     fn drop(&mut self) {
         match self.claim {
-            Claim::Work(load) => self.fleet.change(self.endpoint.key, |own| *own -= load),
+            Claim::Load(load) => self.fleet.update_own_load(self.endpoint.key, |own| *own -= load),
             Claim::Call => self.fleet.end_call(self.endpoint.key),
         }
     }
--- a/crates/relay/src/fleet/load.rs
+++ b/crates/relay/src/fleet/load.rs
@@ -13,7 +13,7 @@
 };
 
 /// Age at which a peer's report expires; peers refresh theirs every second.
-const STALE: Duration = Duration::from_millis(2_500);
+const REPORT_TTL: Duration = Duration::from_millis(2_500);
 
 /// Load on an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 /// Latest report of each peer about one runner.
 #[derive(Debug, Default)]
 pub(super) struct PeerLoads {
-    update: Vec<PeerLoad>,
+    reports: Vec<PeerLoad>,
 }
 
 #[derive(Debug)]
@@ -57,16 +57,16 @@
 
 impl PeerLoads {
     fn apply_peer_load(&mut self, from: &CompactString, load: Load, at: Instant) {
-        self.update.retain(|s| s.from != *from && at < s.at + STALE);
+        self.reports.retain(|s| s.from != *from && at < s.at + REPORT_TTL);
         if load != Load::default() {
-            self.update.push(PeerLoad { from: from.clone(), load, at });
+            self.reports.push(PeerLoad { from: from.clone(), load, at });
         }
     }
 
     fn sum(&self, now: Instant) -> Load {
-        let fresh = self.update.iter().filter(|s| now < s.at + STALE);
-        fresh.fold(Load::default(), |mut sum, update| {
-            sum += update.load;
+        let fresh = self.reports.iter().filter(|s| now < s.at + REPORT_TTL);
+        fresh.fold(Load::default(), |mut sum, peer| {
+            sum += peer.load;
             sum
         })
     }
@@ -76,12 +76,12 @@
     /// Total load of all nodes.
     pub(super) fn load(&self, now: Instant) -> Load {
         let mut sum = self.peer_loads.sum(now);
-        sum += self.own;
+        sum += self.own_load;
         sum
     }
 
     fn report(&self) -> RunnerLoad {
-        let Load { running, memory, unread } = self.own;
+        let Load { running, memory, unread } = self.own_load;
         RunnerLoad { runner: self.registration.id.clone(), running, memory, unread }
     }
 }
@@ -99,12 +99,12 @@
         let failed = std::mem::take(&mut inner.failures);
         let restarts = std::mem::take(&mut inner.restarts);
         let dirty = inner.runners.values_mut().filter(|r| r.dirty);
-        let tell = |runner: &mut Runner| {
+        let report = |runner: &mut Runner| {
             runner.dirty = false;
             runner.report()
         };
         message::Load {
-            runners: dirty.map(tell).collect(),
+            runners: dirty.map(report).collect(),
             failed,
             restarts,
             limits,
@@ -117,7 +117,7 @@
     pub fn snapshot(&self) -> message::Load {
         let (limits, draining) = (self.recent_limits(), self.recent_drain_notices());
         let inner = self.inner.borrow();
-        let loaded = inner.runners.values().filter(|r| r.own != Load::default());
+        let loaded = inner.runners.values().filter(|r| r.own_load != Load::default());
         let runners = loaded.map(Runner::report).collect();
         message::Load { runners, limits, draining, ..message::Load::default() }
     }
@@ -134,7 +134,7 @@
         }
         for runner in &update.failed {
             if let Some(key) = inner.by_id.get(runner).copied() {
-                inner.runners[key].health.on_peer_failure(now);
+                inner.runners[key].health.record_peer_failure(now);
                 inner.suspect_neighbours(key, now);
             }
         }
--- a/crates/relay/src/fleet/pause.rs
+++ b/crates/relay/src/fleet/pause.rs
@@ -23,25 +23,25 @@
 
     /// Time until this node may send to any runner of a service, if only pauses and rate limits of
     /// runners prevent it.
-    pub fn wait(&self, service: &str) -> Option<Duration> {
+    pub fn time_until_ready(&self, service: &str) -> Option<Duration> {
         let now = Instant::now();
         let inner = self.inner.borrow();
         let keys = inner.services.get(service)?.iter();
         let ready = keys.map(|key| &inner.runners[*key]).filter(|runner| runner.is_ready());
-        ready.filter_map(|runner| runner.wait(now)).min().filter(|wait| !wait.is_zero())
+        ready.filter_map(|runner| runner.time_until_ready(now)).min().filter(|wait| !wait.is_zero())
     }
 }
 
 impl Runner {
     /// Whether it may be sent a request, by its backpressure signals.
-    pub(super) fn is_open(&self, now: Instant) -> bool {
+    pub(super) fn accepts_requests(&self, now: Instant) -> bool {
         self.is_ready() && self.pause_left(now).is_zero() && self.has_token(now)
     }
 
     /// Time until its pause and its rate limit allow a request; `None` if this node has no part of the
     /// limit.
-    fn wait(&self, now: Instant) -> Option<Duration> {
-        Some(self.pause_left(now).max(self.wait_for_token(now)?))
+    fn time_until_ready(&self, now: Instant) -> Option<Duration> {
+        Some(self.pause_left(now).max(self.time_until_token(now)?))
     }
 
     pub(super) fn pause_left(&self, now: Instant) -> Duration {
--- a/crates/relay/src/fleet/rate_limit.rs
+++ b/crates/relay/src/fleet/rate_limit.rs
@@ -25,11 +25,11 @@
 /// There are no more owners than that, so that each may send one.
 const BURST: f64 = 3.0;
 /// Age at which a limit expires that no response confirms; a node then finds out by a request.
-const STALE: Duration = Duration::from_secs(10);
+const LIMIT_TTL: Duration = Duration::from_secs(10);
 /// Age up to which an own observation is repeated to peers, for those that missed the first report.
-const REPEAT: Duration = Duration::from_secs(2);
+const REPEAT_PERIOD: Duration = Duration::from_secs(2);
 /// Units of a limit in one request per second.
-const SCALE: f64 = 1_000.0;
+const RATE_SCALE: f64 = 1_000.0;
 
 /// A runner's latest limit, or the end of one.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
 
 impl AdvertisedLimit {
     fn is_in_force(&self, now: Instant) -> bool {
-        self.rate.is_some() && now < self.at + STALE
+        self.rate.is_some() && now < self.at + LIMIT_TTL
     }
 
     fn report(&self, now: Instant, runner: &CompactString) -> RateLimit {
@@ -72,7 +72,7 @@
     /// Records the rate limit in a runner's response, in requests per second of all nodes together.
     pub fn set_rate_limit(&self, key: RunnerKey, limit: Option<f64>) {
         let now = Instant::now();
-        let limit = limit.map(|limit| (limit * SCALE).round() as u32);
+        let limit = limit.map(|limit| (limit * RATE_SCALE).round() as u32);
         if self.inner.borrow_mut().update_limit(key, limit, now, true) {
             self.changed.notify_one();
         }
@@ -119,7 +119,7 @@
     /// Limits that peers may have missed.
     pub(super) fn recent_limits(&self) -> Vec<RateLimit> {
         let now = Instant::now();
-        self.limits(|limit| now < limit.at + REPEAT)
+        self.limits(|limit| now < limit.at + REPEAT_PERIOD)
     }
 }
 
@@ -128,7 +128,7 @@
     fn update_limit(&mut self, key: RunnerKey, rate: Option<u32>, at: Instant, own: bool) -> bool {
         let now = Instant::now();
         let Some(runner) = self.runners.get_mut(key) else { return false };
-        let former = runner.limit.as_ref().filter(|limit| now < limit.at + STALE);
+        let former = runner.limit.as_ref().filter(|limit| now < limit.at + LIMIT_TTL);
         let is_outdated = former.is_some_and(|former| at < former.at);
         let known = former.and_then(|former| former.rate);
         if is_outdated || (known.is_none() && rate.is_none()) {
@@ -167,11 +167,11 @@
     fn divide_limit(&mut self, key: RunnerKey, now: Instant) {
         let runner = &self.runners[key];
         let Some(rate) = runner.limit.as_ref().and_then(|limit| limit.rate) else { return };
-        let rate = f64::from(rate) / SCALE;
+        let rate = f64::from(rate) / RATE_SCALE;
         let owners = self.owners(runner, (rate + BURST) as usize);
-        let part = if owners.contains(&self.me) { 1.0 / owners.len() as f64 } else { 0.0 };
+        let share = if owners.contains(&self.me) { 1.0 / owners.len() as f64 } else { 0.0 };
         if let Some(limit) = &mut self.runners[key].limit {
-            limit.bucket.resize(now, rate * part, (rate + BURST) * part);
+            limit.bucket.resize(now, rate * share, (rate + BURST) * share);
         }
     }
 
@@ -180,13 +180,14 @@
     fn owners(&self, runner: &Runner, count: usize) -> BTreeSet<&CompactString> {
         let domains = self.domains(&runner.registration.service);
         let domain = &runner.registration.domain;
-        let mark = |name: &CompactString| xxh64(name.as_bytes(), runner.address_hash);
-        let is_near = |node: &&NodeAddress| home(&domains, &node.domain) == Some(domain);
+        let hash = |name: &CompactString| xxh64(name.as_bytes(), runner.address_hash);
+        let is_near =
+            |node: &&NodeAddress| preferred_domain(&domains, &node.domain) == Some(domain);
         let mut ranked: Vec<&NodeAddress> = self.nodes.iter().filter(is_near).collect();
         if ranked.is_empty() {
             ranked = self.nodes.iter().collect();
         }
-        ranked.sort_unstable_by_key(|node| Reverse(mark(&node.name)));
+        ranked.sort_unstable_by_key(|node| Reverse(hash(&node.name)));
         ranked.into_iter().take(count).map(|node| &node.name).collect()
     }
 
@@ -200,13 +201,13 @@
 
 fn log_change(runner: &str, rate: Option<u32>) {
     match rate {
-        Some(rate) => log::info!(runner, limit = f64::from(rate) / SCALE; "{RATE_LIMITED}"),
+        Some(rate) => log::info!(runner, limit = f64::from(rate) / RATE_SCALE; "{RATE_LIMITED}"),
         None => log::info!(runner; "{RATE_UNLIMITED}"),
     }
 }
 
 /// The failure domain, of those with runners, that the nodes of another one mainly use.
-fn home<'a>(
+fn preferred_domain<'a>(
     domains: &BTreeSet<&'a CompactString>,
     from: &CompactString,
 ) -> Option<&'a CompactString> {
@@ -227,14 +228,14 @@
     }
 
     /// Time until it has a token; `None` if this node has no part of the limit.
-    pub(super) fn wait_for_token(&self, now: Instant) -> Option<Duration> {
+    pub(super) fn time_until_token(&self, now: Instant) -> Option<Duration> {
         match &self.limit {
-            Some(limit) if limit.is_in_force(now) => limit.bucket.wait(now),
+            Some(limit) if limit.is_in_force(now) => limit.bucket.time_until_token(now),
             _ => Some(Duration::ZERO),
         }
     }
 
     fn take_token(&mut self, now: Instant) -> bool {
-        self.limit.as_mut().is_none_or(|limit| limit.bucket.take(now))
+        self.limit.as_mut().is_none_or(|limit| limit.bucket.try_take(now))
     }
 }
--- a/crates/relay/src/fleet/rate_limit/bucket.rs
+++ b/crates/relay/src/fleet/rate_limit/bucket.rs
@@ -3,7 +3,7 @@
 use {std::time::Duration, tokio::time::Instant};
 
 /// Longest stated wait, for a bucket that hardly fills.
-const WAIT_MAX: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// A bucket that starts empty.
 #[derive(Clone, Copy, Debug)]
@@ -13,19 +13,19 @@
     capacity: f64,
     tokens: f64,
     /// Time up to which `tokens` were added.
-    filled: Instant,
+    updated_at: Instant,
 }
 
 impl Bucket {
     /// An empty bucket that does not fill.
     pub(super) fn new(now: Instant) -> Bucket {
-        Bucket { rate: 0.0, capacity: 0.0, tokens: 0.0, filled: now }
+        Bucket { rate: 0.0, capacity: 0.0, tokens: 0.0, updated_at: now }
     }
 
     /// Changes the rate in tokens per second, and the capacity.
     pub(super) fn resize(&mut self, now: Instant, rate: f64, capacity: f64) {
         self.tokens = self.level(now).min(capacity);
-        (self.rate, self.capacity, self.filled) = (rate, capacity, now);
+        (self.rate, self.capacity, self.updated_at) = (rate, capacity, now);
     }
 
     /// Whether there is a token.
@@ -34,8 +34,8 @@
     }
 
     /// Takes a token if there is one.
-    pub(super) fn take(&mut self, now: Instant) -> bool {
-        (self.tokens, self.filled) = (self.level(now), now);
+    pub(super) fn try_take(&mut self, now: Instant) -> bool {
+        (self.tokens, self.updated_at) = (self.level(now), now);
         let taken = self.tokens >= 1.0;
         if taken {
             self.tokens -= 1.0;
@@ -44,14 +44,14 @@
     }
 
     /// Time until there is a token; `None` if it does not fill.
-    pub(super) fn wait(&self, now: Instant) -> Option<Duration> {
+    pub(super) fn time_until_token(&self, now: Instant) -> Option<Duration> {
         let missing = (1.0 - self.level(now)).max(0.0);
-        let wait = Duration::try_from_secs_f64(missing / self.rate).unwrap_or(WAIT_MAX);
-        (self.rate > 0.0).then(|| wait.min(WAIT_MAX))
+        let wait = Duration::try_from_secs_f64(missing / self.rate).unwrap_or(MAX_WAIT);
+        (self.rate > 0.0).then(|| wait.min(MAX_WAIT))
     }
 
     fn level(&self, now: Instant) -> f64 {
-        let elapsed = now.saturating_duration_since(self.filled).as_secs_f64();
+        let elapsed = now.saturating_duration_since(self.updated_at).as_secs_f64();
         (self.tokens + self.rate * elapsed).min(self.capacity)
     }
 }
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -19,7 +19,7 @@
         network::Network,
         refusal::Refusal,
         rollouts::{
-            Trial,
+            RolloutSample,
             exposure::{Bound, Exposure},
         },
         runner_client::RunnerClient,
@@ -40,9 +40,9 @@
 };
 
 /// Shortest `Retry-After` of a rejected request.
-const RETRY_LEAST: Duration = Duration::from_millis(150);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 /// Range of the random part of `Retry-After`, so that rejected callers spread out.
-const RETRY_SPREAD: Duration = Duration::from_millis(450);
+const RETRY_AFTER_JITTER: Duration = Duration::from_millis(450);
 
 /// Shared state of all flows. Clones share it.
 #[derive(Clone)]
@@ -56,10 +56,10 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Outcomes of requests during a rollout, for the control thread.
-    pub trials: Option<mpsc::UnboundedSender<Trial>>,
+    pub samples: Option<mpsc::UnboundedSender<RolloutSample>>,
     /// Retry budgets.
     pub budgets: Budgets,
-    given: Rc<RefCell<FxHashMap<CompactString, Exposure>>>,
+    exposures: Rc<RefCell<FxHashMap<CompactString, Exposure>>>,
     prefill_rates: Rc<RefCell<FxHashMap<CompactString, PrefillRate>>>,
     bound: Bound,
 }
@@ -101,9 +101,9 @@
             published,
             in_flight: Rc::default(),
             metrics,
-            trials: None,
+            samples: None,
             budgets: Budgets::new(allowance),
-            given: Rc::default(),
+            exposures: Rc::default(),
             prefill_rates: Rc::default(),
             bound,
         }
@@ -125,14 +125,14 @@
             Kind::Once => at_most_once::serve(self, &call).await,
             Kind::Resumable | Kind::StreamOnce => generation::serve(self, call).await,
         };
-        let outcome = outcome(&response, &self.client.dialect);
+        let outcome = classify(&response, &self.client.dialect);
         if outcome == Outcome::Failed {
             let waited = start.elapsed().as_millis() as u64;
             log::info!(request = id.as_str(), status = response.status().as_u16(), waited;
                 "{FAILURE_PASSED}");
         }
         let latency = (outcome == Outcome::Served).then(|| start.elapsed());
-        self.metrics.ended(kind, outcome, latency);
+        self.metrics.count_request(kind, outcome, latency);
         response
     }
 
@@ -142,9 +142,9 @@
     }
 
     /// Selects a runner.
-    fn choose(&self, call: &Call, except: &[RunnerKey]) -> Option<Endpoint> {
+    fn choose_runner(&self, call: &Call, except: &[RunnerKey]) -> Option<Endpoint> {
         let view = self.published.load();
-        let version = version(&view, call);
+        let version = version_constraint(&view, call);
         let fleet = &self.client.fleet;
         let endpoint = fleet.choose(&Criteria { version, ..self.criteria(call, except) });
         match (endpoint, version) {
@@ -161,32 +161,40 @@
     fn choose_version(&self, service: &CompactString) -> Option<Choice> {
         let view = self.published.load();
         let split = view.splits.get(service)?;
-        let mut given = self.given.borrow_mut();
-        let given = given.entry(service.clone()).or_default();
-        Some(given.choose(split, &self.bound, view.nodes.len(), rand::rng().random()))
+        let mut exposures = self.exposures.borrow_mut();
+        let exposure = exposures.entry(service.clone()).or_default();
+        Some(exposure.choose(split, &self.bound, view.nodes.len(), rand::rng().random()))
     }
 
     /// Reports the outcome of a first attempt during a rollout.
-    fn record_trial(&self, call: &Call, runner: RunnerKey, ended: RunEnd) {
-        let (Some(choice), Some(trials)) = (call.version, &self.trials) else { return };
-        let trial = Trial {
+    fn report_sample(&self, call: &Call, runner: RunnerKey, attempt: AttemptSummary) {
+        let (Some(choice), Some(samples)) = (call.version, &self.samples) else { return };
+        let sample = RolloutSample {
             service: call.service.clone(),
             route: call.route.name.clone(),
             choice,
-            ok: ended.ok,
-            first: ended.first,
-            pace: ended.pace,
+            ok: attempt.ok,
+            first: attempt.first,
+            pace: attempt.pace,
             runner: runner.data().as_ffi(),
         };
         // The receiver lives as long as the process.
-        _ = trials.send(trial);
+        _ = samples.send(sample);
     }
 
     /// Selection criteria for a request.
     fn criteria<'a>(&self, call: &'a Call, except: &'a [RunnerKey]) -> Criteria<'a> {
         let (service, prompt) = (call.service.as_str(), call.head.prompt);
         let memory = self.engine(call).map_or(0, |engine| engine.memory);
-        Criteria { service, except, prompt, memory, away: None, version: None, stable: false }
+        Criteria {
+            service,
+            except,
+            prompt,
+            memory,
+            avoid_domain: None,
+            version: None,
+            stable: false,
+        }
     }
 
     /// Engine parameters of the request's service.
@@ -196,9 +204,9 @@
     }
 
     /// Takes one retry from the retry budget.
-    fn may_retry(&self, service: &str) -> bool {
+    fn take_retry(&self, service: &str) -> bool {
         let nodes = self.published.load().nodes.len();
-        self.budgets.take(service, nodes)
+        self.budgets.try_take(service, nodes)
     }
 
     /// Accesses the prefill rate of a service.
@@ -207,24 +215,24 @@
     }
 
     /// A rejection with a randomized `Retry-After`, not before a runner wants a request.
-    fn not_run(&self, call: &Call) -> Refusal {
-        let wait = self.client.fleet.wait(&call.service).unwrap_or_default();
-        let least = wait.max(RETRY_LEAST);
-        Refusal::NotRun { retry: rand::rng().random_range(least..least + RETRY_SPREAD) }
+    fn not_run_rejection(&self, call: &Call) -> Refusal {
+        let wait = self.client.fleet.time_until_ready(&call.service).unwrap_or_default();
+        let least = wait.max(MIN_RETRY_AFTER);
+        Refusal::NotRun { retry: rand::rng().random_range(least..least + RETRY_AFTER_JITTER) }
     }
 
-    fn refuse(&self, call: &Call, refusal: Refusal) -> Response<ResponseBody> {
+    fn reject(&self, call: &Call, refusal: Refusal) -> Response<ResponseBody> {
         let waited = call.start.elapsed().as_millis() as u64;
-        self.metrics.refused(refusal);
+        self.metrics.count_refusal(refusal);
         log::warn!(request = call.head.id.as_str(), route = call.route.name.as_str(), waited,
-            ready = self.client.fleet.ready(&call.service); "{REFUSED}{refusal:?}");
-        refusal.answer(&self.client.dialect, Some(&call.head.id))
+            ready = self.client.fleet.ready_count(&call.service); "{REFUSED}{refusal:?}");
+        refusal.into_response(&self.client.dialect, Some(&call.head.id))
     }
 }
 
 /// Outcome of a first attempt.
 #[derive(Clone, Copy, Debug, Default)]
-struct RunEnd {
+struct AttemptSummary {
     /// Whether it succeeded.
     ok: bool,
     /// Time to the first event or the response.
@@ -234,7 +242,7 @@
 }
 
 /// Classifies a response by its head.
-fn outcome<D: Dialect>(response: &Response<ResponseBody>, dialect: &D) -> Outcome {
+fn classify<D: Dialect>(response: &Response<ResponseBody>, dialect: &D) -> Outcome {
     match response.status() {
         status if status.is_success() => Outcome::Served,
         _ if dialect.is_signed(response.headers()) => Outcome::Failed,
@@ -243,24 +251,24 @@
 }
 
 /// Outcome of a call that ended just now.
-fn ended(call: &Call, ok: bool) -> RunEnd {
-    RunEnd { ok, first: ok.then(|| call.start.elapsed()), pace: None }
+fn summarize(call: &Call, ok: bool) -> AttemptSummary {
+    AttemptSummary { ok, first: ok.then(|| call.start.elapsed()), pace: None }
 }
 
 /// Version constraint of a request. A rolled-back version gets nothing, even if the request was
 /// assigned to it earlier.
-fn version<'a>(view: &'a View, call: &Call) -> Option<Version<'a>> {
+fn version_constraint<'a>(view: &'a View, call: &Call) -> Option<Version<'a>> {
     let split = view.splits.get(&call.service)?;
     let new = call.version.is_some_and(|choice| choice.new);
     match split.rule {
-        Rule::New => Some(Version::Only(&split.to)),
-        Rule::Trial if new => Some(Version::Only(&split.to)),
-        Rule::Trial | Rule::Old => Some(Version::Except(&split.to)),
+        Rule::OnlyNew => Some(Version::Only(&split.to)),
+        Rule::Canary if new => Some(Version::Only(&split.to)),
+        Rule::Canary | Rule::OnlyOld => Some(Version::Except(&split.to)),
     }
 }
 
 /// Send options of a plain attempt after `earlier` ones.
-fn options(call: &Call, endpoint: &Endpoint, earlier: usize) -> SendOptions {
+fn send_options(call: &Call, endpoint: &Endpoint, earlier: usize) -> SendOptions {
     let now = Instant::now();
     let left = call.caller_deadline().map(|end| end.saturating_duration_since(now));
     SendOptions {
--- a/crates/relay/src/flow/at_most_once.rs
+++ b/crates/relay/src/flow/at_most_once.rs
@@ -1,7 +1,7 @@
 //! Requests that must not run more than once.
 
 use {
-    super::{Traffic, ended, options},
+    super::{Traffic, send_options, summarize},
     crate::{
         body::ResponseBody,
         call::Call,
@@ -16,7 +16,7 @@
 };
 
 /// Maximum runners tried while each rejects the request.
-const RUNNERS: usize = 4;
+const MAX_RUNNERS: usize = 4;
 
 /// Tries runners until the request may have started on one, and never again after that. Caller
 /// retries carry a new attempt id, so no state has to be kept.
@@ -26,43 +26,47 @@
 ) -> Response<ResponseBody> {
     let until = call.deadline();
     let mut tried = Vec::new();
-    let mut arrived = false;
-    while tried.len() < RUNNERS && Instant::now() < until {
-        let Some(endpoint) = traffic.choose(call, &tried) else { break };
-        if arrived && !traffic.may_retry(&call.service) {
+    let mut reached_runner = false;
+    while tried.len() < MAX_RUNNERS && Instant::now() < until {
+        let Some(endpoint) = traffic.choose_runner(call, &tried) else { break };
+        if reached_runner && !traffic.take_retry(&call.service) {
             break;
         }
         let fleet = &traffic.client.fleet;
-        let _lease = fleet.call(endpoint.clone());
+        let _lease = fleet.lease_call(endpoint.clone());
         let key = endpoint.key;
-        let options = options(call, &endpoint, tried.len());
+        let options = send_options(call, &endpoint, tried.len());
         match traffic.client.send(call, &endpoint, &options, until).await {
             SendOutcome::Answered(reply) => {
-                return match traffic.client.whole(reply, &endpoint, until).await {
+                return match traffic.client.read_body(reply, &endpoint, until).await {
                     Ok((parts, bytes)) => {
-                        traffic.record_trial(call, key, ended(call, !is_failure(parts.status)));
+                        traffic.report_sample(
+                            call,
+                            key,
+                            summarize(call, !is_failure(parts.status)),
+                        );
                         Response::from_parts(parts, bytes.into())
                     }
                     Err(error) => {
-                        traffic.record_trial(call, key, ended(call, false));
-                        traffic.refuse(call, lost(error))
+                        traffic.report_sample(call, key, summarize(call, false));
+                        traffic.reject(call, lost(error))
                     }
                 };
             }
-            SendOutcome::NotRun => arrived = true,
+            SendOutcome::NotRun => reached_runner = true,
             SendOutcome::Withheld => {}
             SendOutcome::Unsent => fleet.record_failure(key, Instant::now()),
             SendOutcome::Lost(error) => {
                 if error == SendError::Broken {
                     fleet.record_failure(key, Instant::now());
                 }
-                traffic.record_trial(call, key, ended(call, false));
-                return traffic.refuse(call, lost(error));
+                traffic.report_sample(call, key, summarize(call, false));
+                return traffic.reject(call, lost(error));
             }
         }
         tried.push(key);
     }
-    traffic.refuse(call, traffic.not_run(call))
+    traffic.reject(call, traffic.not_run_rejection(call))
 }
 
 /// Response to a request that may have run.
--- a/crates/relay/src/flow/generation.rs
+++ b/crates/relay/src/flow/generation.rs
@@ -12,7 +12,7 @@
     },
     super::Traffic,
     crate::{
-        body::{self, Feed, ResponseBody},
+        body::{self, BodySender, ResponseBody},
         call::{Call, Size},
         catalog::Kind,
         dialect::{Dialect, ReplicaRef, SendOptions},
@@ -35,9 +35,9 @@
 /// resuming from a replica.
 const STALL_SHARE: f64 = 0.6;
 /// Stall timeout where the route sets no maximum gap.
-const STALL_DEFAULT: Duration = Duration::from_secs(2);
+const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum sends of one stream.
-const SENDS: u32 = 12;
+const MAX_SENDS: u32 = 12;
 
 /// State of one stream.
 struct Generation<D, N> {
@@ -52,13 +52,13 @@
     /// Sends so far.
     sends: u32,
     /// Whether one of them has reached a runner.
-    arrived: bool,
+    reached_runner: bool,
     /// Time of the first event.
-    began: Option<Instant>,
+    first_event_at: Option<Instant>,
     /// How the current run was resumed.
     resumed: Resume,
     /// Replica of the last run and its holder.
-    from_replica: Option<(Endpoint, ReplicaRef)>,
+    last_replica: Option<(Endpoint, ReplicaRef)>,
     /// A runner's own error response, returned if no runner succeeds.
     failure: Option<(Parts, Bytes)>,
     /// Error of the last run that may have started.
@@ -97,17 +97,17 @@
     call: Call,
 ) -> Response<ResponseBody> {
     let mut generation = Generation::new(traffic.clone(), call);
-    match generation.begin().await {
+    match generation.start_run().await {
         Ok(StartedRun { parts, run, first }) => {
             let open = traffic.track_in_flight();
-            let fill = |feed| async move {
-                generation.pump(feed, run, first).await;
+            let fill = |sender| async move {
+                generation.forward_events(sender, run, first).await;
                 drop(open);
             };
             Response::from_parts(parts, body::stream(fill))
         }
         Err(FinalFailure::Failure(parts, bytes)) => Response::from_parts(parts, bytes.into()),
-        Err(FinalFailure::Refused(refusal)) => traffic.refuse(&generation.call, refusal),
+        Err(FinalFailure::Refused(refusal)) => traffic.reject(&generation.call, refusal),
     }
 }
 
@@ -120,21 +120,21 @@
             failed: Vec::new(),
             runs: 0,
             sends: 0,
-            arrived: false,
-            began: None,
+            reached_runner: false,
+            first_event_at: None,
             resumed: Resume::Anew,
-            from_replica: None,
+            last_replica: None,
             failure: None,
             lost: None,
         }
     }
 
     /// Sends until a run starts.
-    async fn begin(&mut self) -> Result<StartedRun, FinalFailure> {
+    async fn start_run(&mut self) -> Result<StartedRun, FinalFailure> {
         let end = self.call.deadline();
         let mut cached = if self.sends == 0 { self.find_cached().await } else { None };
         if self.sends == 0 && self.misses_deadline(cached.is_some()) {
-            return Err(FinalFailure::Refused(self.traffic.not_run(&self.call)));
+            return Err(FinalFailure::Refused(self.traffic.not_run_rejection(&self.call)));
         }
         while self.may_send(end) {
             let next =
@@ -144,9 +144,9 @@
             self.sends += 1;
             match self.attempt(&endpoint, replica, end).await {
                 AttemptOutcome::Started(started) => {
-                    self.arrived = true;
+                    self.reached_runner = true;
                     self.runs += u32::from(!from_replica);
-                    self.began.get_or_insert_with(Instant::now);
+                    self.first_event_at.get_or_insert_with(Instant::now);
                     if self.sends == 1 && self.call.head.resume.is_none() {
                         let tokens = self.size().prompt;
                         let took = self.call.start.elapsed();
@@ -158,17 +158,17 @@
                     return Ok(*started);
                 }
                 AttemptOutcome::Failure(parts, bytes) => {
-                    self.arrived = true;
-                    self.record_trial(endpoint.key, false);
+                    self.reached_runner = true;
+                    self.report_sample(endpoint.key, false);
                     self.runs += 1;
                     self.failure = Some((parts, bytes));
                 }
-                AttemptOutcome::NotRun => self.arrived = true,
+                AttemptOutcome::NotRun => self.reached_runner = true,
                 AttemptOutcome::Withheld => {}
                 AttemptOutcome::Unsent => self.mark_failed(endpoint.key),
                 AttemptOutcome::Lost(error) => {
-                    self.arrived = true;
-                    self.record_trial(endpoint.key, false);
+                    self.reached_runner = true;
+                    self.report_sample(endpoint.key, false);
                     self.runs += u32::from(!from_replica);
                     self.lost = Some(error);
                     self.mark_failed(endpoint.key);
@@ -183,14 +183,14 @@
     }
 
     /// Forwards events until the stream ends or cannot be resumed.
-    async fn pump(&mut self, feed: Feed, mut run: Run, first: Option<Event>) {
+    async fn forward_events(&mut self, sender: BodySender, mut run: Run, first: Option<Event>) {
         let mut next = first.ok_or(RunEnd::Whole);
         loop {
             match next {
                 Ok(event) => {
                     let bytes = event.bytes.len();
                     self.traffic.client.count_bytes(Part::Events, run.endpoint(), bytes);
-                    if !self.pass(&feed, event).await {
+                    if !self.forward(&sender, event).await {
                         return;
                     }
                     self.renew_replica(&mut run);
@@ -198,19 +198,19 @@
                 }
                 Err(RunEnd::Whole) => {
                     self.log_ended(&run);
-                    self.record_trial(run.endpoint().key, true);
-                    run.keep(&self.traffic.client.fleet);
-                    return feed.finish();
+                    self.report_sample(run.endpoint().key, true);
+                    run.release_connection(&self.traffic.client.fleet);
+                    return sender.finish();
                 }
                 Err(reason) => {
                     let lost = Instant::now();
-                    self.leave(run, reason);
+                    self.abandon(run, reason);
                     if !self.is_resumable() {
                         return self.log_broken();
                     }
-                    match self.begin().await {
+                    match self.start_run().await {
                         Ok(started) => {
-                            self.traffic.metrics.resumed(self.resumed, lost.elapsed());
+                            self.traffic.metrics.count_resume(self.resumed, lost.elapsed());
                             run = started.run;
                             next = started.first.ok_or(RunEnd::Whole);
                         }
@@ -221,22 +221,22 @@
         }
     }
 
-    async fn pass(&mut self, feed: &Feed, event: Event) -> bool {
+    async fn forward(&mut self, sender: &BodySender, event: Event) -> bool {
         self.position = event.id.or(self.position);
-        feed.push(event.bytes).await
+        sender.push(event.bytes).await
     }
 
     /// Abandons a run. Its connection is closed before another runner resumes the stream.
-    fn leave(&mut self, run: Run, reason: RunEnd) {
+    fn abandon(&mut self, run: Run, reason: RunEnd) {
         let key = run.endpoint().key;
-        self.record_trial(key, false);
+        self.report_sample(key, false);
         log::warn!(request = self.call.head.id.as_str(), runner = run.endpoint().id.as_str(),
             position = self.position.unwrap_or_default(),
             holder = run.replica().map_or("", |b| b.holder().id.as_str());
             "{RUN_LOST}{reason:?}");
         self.mark_failed(key);
         self.failed.push(key);
-        self.from_replica = run.replica().and_then(Replica::take);
+        self.last_replica = run.replica().and_then(Replica::take);
         drop(run);
     }
 
@@ -262,11 +262,11 @@
         let lease = fleet.lease(endpoint.clone(), Load { running: 1, memory, unread });
         let from_replica = Load { memory, ..Load::default() };
         let id = &self.call.head.id;
-        let replica = replica.map(|p| Replica::growing(fleet.lease(p, from_replica), id));
+        let replica = replica.map(|p| Replica::streamed(fleet.lease(p, from_replica), id));
         let send = async {
             let reply = match self.traffic.client.send(&self.call, endpoint, &options, end).await {
                 SendOutcome::Answered(reply) if is_failure(reply.parts.status) => {
-                    return match self.traffic.client.whole(reply, endpoint, end).await {
+                    return match self.traffic.client.read_body(reply, endpoint, end).await {
                         Ok((parts, bytes)) => AttemptOutcome::Failure(parts, bytes),
                         Err(error) => AttemptOutcome::Lost(error),
                     };
@@ -304,8 +304,8 @@
         }
         let runs = self.runs < self.call.route.attempts.max(1);
         let again = self.lost.is_none() || self.is_resumable();
-        let left = self.sends < SENDS && Instant::now() < end;
-        let paid = || !self.arrived || self.traffic.may_retry(&self.call.service);
+        let left = self.sends < MAX_SENDS && Instant::now() < end;
+        let paid = || !self.reached_runner || self.traffic.take_retry(&self.call.service);
         runs && again && left && paid()
     }
 
@@ -314,14 +314,14 @@
     }
 
     /// Reports the outcome of the first send during a rollout.
-    fn record_trial(&self, key: RunnerKey, ok: bool) {
+    fn report_sample(&self, key: RunnerKey, ok: bool) {
         if self.sends > 1 {
             return;
         }
         let events = self.position.unwrap_or_default() - self.call.head.resume.unwrap_or_default();
-        let pace = self.began.map(|at| at.elapsed().div_f64(events.max(1) as f64));
-        let first = self.began.map(|at| at - self.call.start);
-        self.traffic.record_trial(&self.call, key, super::RunEnd { ok, first, pace });
+        let pace = self.first_event_at.map(|at| at.elapsed().div_f64(events.max(1) as f64));
+        let first = self.first_event_at.map(|at| at - self.call.start);
+        self.traffic.report_sample(&self.call, key, super::AttemptSummary { ok, first, pace });
     }
 
     fn size(&self) -> Size {
@@ -329,7 +329,7 @@
     }
 
     fn stall_timeout(&self) -> Duration {
-        self.call.route.gap.map_or(STALL_DEFAULT, |gap| gap.mul_f64(STALL_SHARE))
+        self.call.route.gap.map_or(DEFAULT_STALL_TIMEOUT, |gap| gap.mul_f64(STALL_SHARE))
     }
 
     fn mark_failed(&self, key: RunnerKey) {
@@ -339,7 +339,7 @@
     fn final_failure(&mut self) -> FinalFailure {
         match (self.failure.take(), self.lost) {
             (Some((parts, bytes)), _) => FinalFailure::Failure(parts, bytes),
-            (None, None) => FinalFailure::Refused(self.traffic.not_run(&self.call)),
+            (None, None) => FinalFailure::Refused(self.traffic.not_run_rejection(&self.call)),
             (None, Some(SendError::Silent)) => FinalFailure::Refused(Refusal::Timeout),
             (None, Some(_)) => FinalFailure::Refused(Refusal::Lost),
         }
--- a/crates/relay/src/flow/generation/logging.rs
+++ b/crates/relay/src/flow/generation/logging.rs
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn log_broken(&self) {
-        self.traffic.metrics.ended(self.call.route.kind, Outcome::Aborted, None);
+        self.traffic.metrics.count_request(self.call.route.kind, Outcome::Aborted, None);
         log::warn!(request = self.call.head.id.as_str(), sends = self.sends, runs = self.runs,
             position = self.position.unwrap_or_default();
             "{STREAM_BROKEN}: no runner can resume it");
--- a/crates/relay/src/flow/generation/placement.rs
+++ b/crates/relay/src/flow/generation/placement.rs
@@ -5,7 +5,7 @@
     crate::{
         dialect::{Dialect, ReplicaRef},
         fleet::{Criteria, Endpoint, Load},
-        flow::version,
+        flow::version_constraint,
         network::Network,
     },
     futures_util::future::join_all,
@@ -19,7 +19,7 @@
     /// than finding out.
     pub(super) fn next_endpoint(&mut self) -> Option<(Endpoint, Option<ReplicaRef>)> {
         let fleet = &self.traffic.client.fleet;
-        if let Some((endpoint, from_replica)) = self.from_replica.take() {
+        if let Some((endpoint, from_replica)) = self.last_replica.take() {
             match fleet.find_by_address(&endpoint).filter(|holder| fleet.is_available(holder.key)) {
                 Some(holder) => return Some((holder, Some(from_replica))),
                 None => log::info!(request = self.call.head.id.as_str(),
@@ -32,7 +32,7 @@
     /// Replaces the replica if its holder is lost or draining, or none exists.
     pub(super) fn renew_replica(&self, run: &mut Run) {
         let client = &self.traffic.client;
-        let sound = |b: &Replica| b.is_new() || client.fleet.is_available(b.holder().key);
+        let sound = |b: &Replica| b.is_recent() || client.fleet.is_available(b.holder().key);
         if run.replica().is_some_and(sound) {
             return;
         }
@@ -43,14 +43,14 @@
         let memory = self.size().total();
         let lease = client.fleet.lease(holder, Load { memory, ..Load::default() });
         let (id, source) = (self.call.head.id.clone(), run.endpoint().clone());
-        run.set_replica(Some(Replica::asked(client.clone(), lease, id, source, replica_ttl)));
+        run.set_replica(Some(Replica::requested(client.clone(), lease, id, source, replica_ttl)));
     }
 
     /// A runner that has not failed this stream, else any.
     fn choose(&self) -> Option<Endpoint> {
         self.traffic
-            .choose(&self.call, &self.failed)
-            .or_else(|| self.traffic.choose(&self.call, &[]))
+            .choose_runner(&self.call, &self.failed)
+            .or_else(|| self.traffic.choose_runner(&self.call, &[]))
     }
 
     /// Selects the replica's holder: in another failure domain, and preferably one of the prompt's
@@ -62,10 +62,10 @@
         let mut except = self.failed.clone();
         except.push(endpoint.key);
         let criteria = self.traffic.criteria(&self.call, &except);
-        let away = Some(endpoint.domain.as_str());
+        let avoid_domain = Some(endpoint.domain.as_str());
         let view = self.traffic.published.load();
-        let version = version(&view, &self.call);
-        let criteria = Criteria { away, version, stable: true, ..criteria };
+        let version = version_constraint(&view, &self.call);
+        let criteria = Criteria { avoid_domain, version, stable: true, ..criteria };
         self.traffic.client.fleet.choose(&criteria)
     }
 
--- a/crates/relay/src/flow/generation/replica.rs
+++ b/crates/relay/src/flow/generation/replica.rs
@@ -20,37 +20,37 @@
 };
 
 /// Share of the time to live after which a snapshot is refreshed.
-const RENEW: f64 = 0.75;
+const REFRESH_SHARE: f64 = 0.75;
 /// Delay before a failed request is retried.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The replica of one run.
 pub(super) struct Replica {
     /// Reserves the holder's memory.
     lease: Lease,
     /// Time of the request; `None` for a streamed replica.
-    asked: Option<Instant>,
+    requested_at: Option<Instant>,
     state: Rc<State>,
 }
 
 #[derive(Default)]
 struct State {
     /// Reference under which the holder knows it; `None` until it is complete.
-    from_replica: RefCell<Option<ReplicaRef>>,
+    reference: RefCell<Option<ReplicaRef>>,
     /// Signals that the run has ended.
     ended: Notify,
 }
 
 impl Replica {
     /// A replica that the runner streams for the attempt `id`.
-    pub(super) fn growing(lease: Lease, id: &CompactString) -> Replica {
-        let from_replica = ReplicaRef { address: lease.endpoint.address, handle: id.clone() };
-        let state = State { from_replica: RefCell::new(Some(from_replica)), ..State::default() };
-        Replica { lease, asked: None, state: Rc::new(state) }
+    pub(super) fn streamed(lease: Lease, id: &CompactString) -> Replica {
+        let reference = ReplicaRef { address: lease.endpoint.address, handle: id.clone() };
+        let state = State { reference: RefCell::new(Some(reference)), ..State::default() };
+        Replica { lease, requested_at: None, state: Rc::new(state) }
     }
 
     /// A replica requested from the runner at `source`, with time to live `replica_ttl`.
-    pub(super) fn asked<D: Dialect, N: Network>(
+    pub(super) fn requested<D: Dialect, N: Network>(
         client: RunnerClient<D, N>,
         lease: Lease,
         id: CompactString,
@@ -58,17 +58,17 @@
         replica_ttl: Duration,
     ) -> Replica {
         let state = Rc::<State>::default();
-        let replica = Replica { lease, asked: Some(Instant::now()), state: state.clone() };
+        let replica = Replica { lease, requested_at: Some(Instant::now()), state: state.clone() };
         let holder = replica.holder().clone();
         tokio::task::spawn_local(async move {
             tokio::select! {
-                () = ask(&client, &state, &id, &source, &holder, replica_ttl) => {}
+                () = request_snapshots(&client, &state, &id, &source, &holder, replica_ttl) => {}
                 () = state.ended.notified() => {}
             }
             // An unused replica occupies the holder's memory until it expires.
-            let left = state.from_replica.borrow_mut().take();
-            if let Some(from_replica) = left {
-                client.drop_replica(&source, &from_replica.handle).await;
+            let left = state.reference.borrow_mut().take();
+            if let Some(reference) = left {
+                client.drop_replica(&source, &reference.handle).await;
             }
         });
         replica
@@ -81,14 +81,14 @@
 
     /// Whether it was requested too recently to be replaced. Without this bound each event would
     /// request another one while all candidates are unstable.
-    pub(super) fn is_new(&self) -> bool {
-        self.asked.is_some_and(|at| at.elapsed() < RETRY)
+    pub(super) fn is_recent(&self) -> bool {
+        self.requested_at.is_some_and(|at| at.elapsed() < RETRY_DELAY)
     }
 
     /// Takes the holder and the reference, if it is complete.
     pub(super) fn take(&self) -> Option<(Endpoint, ReplicaRef)> {
-        let from_replica = self.state.from_replica.borrow_mut().take()?;
-        Some((self.lease.endpoint.clone(), from_replica))
+        let reference = self.state.reference.borrow_mut().take()?;
+        Some((self.lease.endpoint.clone(), reference))
     }
 }
 
@@ -99,7 +99,7 @@
 }
 
 /// Requests snapshots until cancelled.
-async fn ask<D: Dialect, N: Network>(
+async fn request_snapshots<D: Dialect, N: Network>(
     client: &RunnerClient<D, N>,
     state: &State,
     id: &CompactString,
@@ -112,11 +112,11 @@
         log::info!(request = id.as_str(), runner = source.id.as_str(),
             holder = holder.id.as_str(), made = handle.is_some();
             "replica requested");
-        let pause = if handle.is_some() { replica_ttl.mul_f64(RENEW) } else { RETRY };
+        let pause = if handle.is_some() { replica_ttl.mul_f64(REFRESH_SHARE) } else { RETRY_DELAY };
         if let Some(handle) = handle {
             // A completed transfer proves that the holder is up.
             client.fleet.record_response(holder.key, Instant::now());
-            *state.from_replica.borrow_mut() = Some(ReplicaRef { address: source.address, handle });
+            *state.reference.borrow_mut() = Some(ReplicaRef { address: source.address, handle });
         }
         sleep(pause).await;
     }
--- a/crates/relay/src/flow/generation/run.rs
+++ b/crates/relay/src/flow/generation/run.rs
@@ -17,12 +17,12 @@
 
 /// A run and its connection; dropping it closes the connection and cancels the run.
 pub(super) struct Run {
-    line: Connection,
+    connection: Connection,
     body: Incoming,
     splitter: Splitter,
     lease: Lease,
     replica: Option<Replica>,
-    idle: Option<Duration>,
+    idle_timeout: Option<Duration>,
 }
 
 /// How a run ended.
@@ -41,11 +41,11 @@
 impl Run {
     /// Starts reading a response.
     pub(super) fn new(reply: Reply, lease: Lease, replica: Option<Replica>) -> (Parts, Run) {
-        let Reply { mut parts, answer, body, line } = reply;
+        let Reply { mut parts, head, body, connection } = reply;
         // Events of further runs change the length.
         parts.headers.remove(header::CONTENT_LENGTH);
         let splitter = Splitter::default();
-        (parts, Run { line, body, splitter, lease, replica, idle: answer.idle })
+        (parts, Run { connection, body, splitter, lease, replica, idle_timeout: head.idle })
     }
 
     /// The next event after `position`, within `timeout`.
@@ -57,17 +57,17 @@
         let until = Instant::now() + timeout;
         loop {
             match self.splitter.take() {
-                Ok(Some(event)) => match options(&event, position) {
-                    SendOptions::Next => return Ok(event),
-                    SendOptions::Known => continue,
-                    SendOptions::Gap => return Err(RunEnd::Disorder),
+                Ok(Some(event)) => match check_continuity(&event, position) {
+                    Continuity::Next => return Ok(event),
+                    Continuity::Duplicate => continue,
+                    Continuity::Gap => return Err(RunEnd::Disorder),
                 },
                 Ok(None) => {}
                 Err(_) => return Err(RunEnd::Disorder),
             }
             let frame = timeout_at(until, self.body.frame()).await.map_err(|_| RunEnd::Silent)?;
             match frame {
-                Some(Ok(frame)) => self.take(&frame),
+                Some(Ok(frame)) => self.push_frame(&frame),
                 Some(Err(_)) => return Err(RunEnd::Cut),
                 None if self.splitter.is_partial() => return Err(RunEnd::Cut),
                 None => return Err(RunEnd::Whole),
@@ -77,7 +77,7 @@
 
     /// Marks the prompt as prefilled.
     pub(super) fn mark_started(&mut self) {
-        self.lease.read();
+        self.lease.mark_prefilled();
     }
 
     /// The runner.
@@ -96,30 +96,30 @@
     }
 
     /// Returns the connection of a completed run to the pool.
-    pub(super) fn keep(self, fleet: &Fleet) {
-        fleet.return_connection(self.lease.endpoint.key, self.line, self.idle);
+    pub(super) fn release_connection(self, fleet: &Fleet) {
+        fleet.return_connection(self.lease.endpoint.key, self.connection, self.idle_timeout);
     }
 
-    fn take(&mut self, frame: &hyper::body::Frame<bytes::Bytes>) {
+    fn push_frame(&mut self, frame: &hyper::body::Frame<bytes::Bytes>) {
         if let Some(bytes) = frame.data_ref() {
-            self.lease.alive();
+            self.lease.record_response();
             self.splitter.push(bytes);
         }
     }
 }
 
-enum SendOptions {
+enum Continuity {
     Next,
-    Known,
+    Duplicate,
     Gap,
 }
 
 /// Compares an event's id with `position`. A resumed run may repeat events; a gap cannot be
 /// repaired.
-fn options(event: &Event, position: Option<u64>) -> SendOptions {
+fn check_continuity(event: &Event, position: Option<u64>) -> Continuity {
     match (event.id, position) {
-        (Some(id), Some(last)) if id <= last => SendOptions::Known,
-        (Some(id), Some(last)) if id > last + 1 => SendOptions::Gap,
-        _ => SendOptions::Next,
+        (Some(id), Some(last)) if id <= last => Continuity::Duplicate,
+        (Some(id), Some(last)) if id > last + 1 => Continuity::Gap,
+        _ => Continuity::Next,
     }
 }
--- a/crates/relay/src/flow/idempotent.rs
+++ b/crates/relay/src/flow/idempotent.rs
@@ -1,7 +1,7 @@
 //! Idempotent requests.
 
 use {
-    super::{Traffic, ended, options},
+    super::{Traffic, send_options, summarize},
     crate::{
         body::ResponseBody,
         call::Call,
@@ -20,14 +20,14 @@
 /// Share of the latency objective after which a slow runner is abandoned for another one.
 const HEDGE_SHARE: f64 = 0.6;
 /// Maximum runners tried while each rejects the request.
-const RUNNERS: usize = 5;
+const MAX_RUNNERS: usize = 5;
 
 /// State between two attempts.
 #[derive(Default)]
 struct Progress {
     tried: Vec<RunnerKey>,
     /// Whether an attempt has reached a runner.
-    arrived: bool,
+    reached_runner: bool,
     /// Attempts that may have run.
     runs: u32,
     /// Response to return if no runner succeeds.
@@ -44,20 +44,21 @@
     let mut progress = Progress::default();
     let end = call.deadline();
     let attempts = call.route.attempts.max(1);
-    while progress.runs < attempts && progress.tried.len() < RUNNERS && Instant::now() < end {
-        let Some(endpoint) = traffic.choose(call, &progress.tried) else { break };
-        if progress.arrived && !traffic.may_retry(&call.service) {
+    while progress.runs < attempts && progress.tried.len() < MAX_RUNNERS && Instant::now() < end {
+        let Some(endpoint) = traffic.choose_runner(call, &progress.tried) else { break };
+        if progress.reached_runner && !traffic.take_retry(&call.service) {
             break;
         }
-        let last = progress.runs + 1 == attempts || traffic.client.fleet.ready(&call.service) < 2;
+        let last =
+            progress.runs + 1 == attempts || traffic.client.fleet.ready_count(&call.service) < 2;
         let until = if last { end } else { hedge_deadline(call, end) };
-        let _lease = traffic.client.fleet.call(endpoint.clone());
-        let options = options(call, &endpoint, progress.tried.len());
+        let _lease = traffic.client.fleet.lease_call(endpoint.clone());
+        let options = send_options(call, &endpoint, progress.tried.len());
         progress.tried.push(endpoint.key);
         let sent = traffic.client.send(call, &endpoint, &options, until).await;
-        let answer = take(traffic, &mut progress, sent, &endpoint, until).await;
+        let answer = evaluate(traffic, &mut progress, sent, &endpoint, until).await;
         if progress.tried.len() == 1 && progress.runs == 1 {
-            traffic.record_trial(call, endpoint.key, ended(call, answer.is_some()));
+            traffic.report_sample(call, endpoint.key, summarize(call, answer.is_some()));
         }
         if let Some((parts, bytes)) = answer {
             return Response::from_parts(parts, bytes.into());
@@ -65,7 +66,7 @@
     }
     match progress.failure {
         Some((parts, bytes)) => Response::from_parts(parts, bytes.into()),
-        None => traffic.refuse(call, refusal(traffic, call, &progress)),
+        None => traffic.reject(call, refusal(traffic, call, &progress)),
     }
 }
 
@@ -77,7 +78,7 @@
 }
 
 /// Evaluates an attempt; returns the response if it is final.
-async fn take<D: Dialect, N: Network>(
+async fn evaluate<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     progress: &mut Progress,
     sent: SendOutcome,
@@ -85,11 +86,11 @@
     until: Instant,
 ) -> Option<(Parts, Bytes)> {
     let (fleet, key) = (&traffic.client.fleet, endpoint.key);
-    progress.arrived |= !matches!(sent, SendOutcome::Unsent | SendOutcome::Withheld);
+    progress.reached_runner |= !matches!(sent, SendOutcome::Unsent | SendOutcome::Withheld);
     match sent {
         SendOutcome::Answered(reply) => {
             progress.runs += 1;
-            match traffic.client.whole(reply, endpoint, until).await {
+            match traffic.client.read_body(reply, endpoint, until).await {
                 Ok((parts, bytes)) if !is_failure(parts.status) => return Some((parts, bytes)),
                 Ok(failure) => progress.failure = Some(failure),
                 Err(error) => progress.lost = Some(error),
@@ -115,7 +116,7 @@
     progress: &Progress,
 ) -> Refusal {
     match progress.lost {
-        None => traffic.not_run(call),
+        None => traffic.not_run_rejection(call),
         Some(SendError::Silent) => Refusal::Timeout,
         Some(_) => Refusal::Lost,
     }
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -29,23 +29,23 @@
 /// node until it expires.
 pub const ADDRESSES_TTL: Duration = Duration::from_secs(1);
 /// Content type of the metrics.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// Maximum addresses in a response.
-const ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 /// Maximum time a request is held while the node loads the catalogue and the runners. After a full
 /// outage most callers have a single retry left, which would otherwise be rejected.
 const STARTING_WAIT: Duration = Duration::from_millis(300);
 /// Upper bound of that time as a share of the caller's timeout.
 const STARTING_SHARE: f64 = 0.125;
 /// Poll interval meanwhile.
-const STARTING_TICK: Duration = Duration::from_millis(5);
+const STARTING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// `Retry-After` while the node is starting.
 const STARTING_RETRY: Duration = Duration::from_millis(500);
 /// `Retry-After` while the store is unavailable at start; long enough for a caller's few retries to
 /// outlast a short outage.
 const CUT_OFF_RETRY: Duration = Duration::from_secs(2);
 /// `Retry-After` while draining: other nodes are available.
-const LEAVING_RETRY: Duration = Duration::from_millis(20);
+const DRAINING_RETRY: Duration = Duration::from_millis(20);
 
 /// Handler for callers' requests and queries. Clones share it.
 #[derive(Clone)]
@@ -67,11 +67,11 @@
         let _open = self.traffic.track_in_flight();
         let (parts, body) = request.into_parts();
         if !self.has_started() {
-            self.start(&parts, start).await;
+            self.wait_until_started(&parts, start).await;
         }
         let mut response = match self.admit(&parts, start) {
-            Ok(admitted) => self.take(parts, body, admitted, start).await,
-            Err((refusal, id)) => self.refuse(refusal, id.as_deref()),
+            Ok(admitted) => self.read_and_serve(parts, body, admitted, start).await,
+            Err((refusal, id)) => self.reject(refusal, id.as_deref()),
         };
         if self.drain.is_draining() {
             let close = header::HeaderValue::from_static("close");
@@ -94,10 +94,10 @@
     }
 
     /// Handles a metrics scrape.
-    pub fn metrics(&self) -> Response<ResponseBody> {
-        let text = self.traffic.metrics.text(self.traffic.in_flight.get());
+    pub fn handle_metrics(&self) -> Response<ResponseBody> {
+        let text = self.traffic.metrics.encode(self.traffic.in_flight.get());
         let mut response = Response::new(ResponseBody::from(Bytes::from(text)));
-        let kind = header::HeaderValue::from_static(METRICS_TYPE);
+        let kind = header::HeaderValue::from_static(METRICS_CONTENT_TYPE);
         response.headers_mut().insert(header::CONTENT_TYPE, kind);
         response
     }
@@ -113,27 +113,27 @@
     /// Whether the node has loaded its state, or cannot load it now.
     fn has_started(&self) -> bool {
         let view = self.traffic.published.load();
-        view.cut_off || (view.catalog.is_some() && self.traffic.client.fleet.is_known())
+        view.cut_off || (view.catalog.is_some() && self.traffic.client.fleet.is_loaded())
     }
 
     /// Waits until the node has loaded its state, within limits.
-    async fn start(&self, parts: &Parts, start: Instant) {
+    async fn wait_until_started(&self, parts: &Parts, start: Instant) {
         let timeout = self.dialect().parse_request(parts).ok().and_then(|head| head.timeout);
         let share = timeout.map_or(STARTING_WAIT, |timeout| timeout.mul_f64(STARTING_SHARE));
         let end = start + share.min(STARTING_WAIT);
         self.demand.notify_one();
         while !self.has_started() && Instant::now() < end {
-            sleep(STARTING_TICK).await;
+            sleep(STARTING_POLL_INTERVAL).await;
         }
     }
 
     fn addresses(&self) -> Response<ResponseBody> {
         let view = self.traffic.published.load();
         let mut nodes: Vec<SocketAddr> = view.nodes.iter().map(address).collect();
-        if nodes.len() > ADDRESSES {
+        if nodes.len() > MAX_ADDRESSES {
             let start = rand::rng().random_range(0..nodes.len());
             nodes.rotate_left(start);
-            nodes.truncate(ADDRESSES);
+            nodes.truncate(MAX_ADDRESSES);
         }
         if nodes.is_empty() {
             return status(StatusCode::SERVICE_UNAVAILABLE);
@@ -146,10 +146,10 @@
         response
     }
 
-    fn refuse(&self, refusal: Refusal, id: Option<&str>) -> Response<ResponseBody> {
-        self.traffic.metrics.refused(refusal);
+    fn reject(&self, refusal: Refusal, id: Option<&str>) -> Response<ResponseBody> {
+        self.traffic.metrics.count_refusal(refusal);
         log::warn!(request = id.unwrap_or_default(), version = self.version(); "{REFUSED}{refusal:?}");
-        refusal.answer(self.dialect(), id)
+        refusal.into_response(self.dialect(), id)
     }
 
     fn version(&self) -> u64 {
@@ -166,15 +166,15 @@
             return Err((Refusal::NotRun { retry }, id()));
         };
         let admitted = catalog.admit(&head.host, parts.uri.path(), head.key.as_deref());
-        let (route, account) = admitted.map_err(|denied| (denied_as(denied), id()))?;
+        let (route, account) = admitted.map_err(|denied| (refusal_of(denied), id()))?;
         let deadline = start + route.timeout;
         if route.kind.is_stream() && self.drain.outlives_grace(deadline) {
-            return Err((Refusal::NotRun { retry: LEAVING_RETRY }, id()));
+            return Err((Refusal::NotRun { retry: DRAINING_RETRY }, id()));
         }
         Ok(Admitted { head, route, account, catalog })
     }
 
-    async fn take(
+    async fn read_and_serve(
         &self,
         parts: Parts,
         body: Incoming,
@@ -191,10 +191,10 @@
                     true => Refusal::BodySize,
                     false => Refusal::Malformed,
                 };
-                return self.refuse(refusal, Some(&head.id));
+                return self.reject(refusal, Some(&head.id));
             }
             Err(_) => {
-                return self.refuse(Refusal::NotRun { retry: STARTING_RETRY }, Some(&head.id));
+                return self.reject(Refusal::NotRun { retry: STARTING_RETRY }, Some(&head.id));
             }
         };
         let path = parts.uri.path_and_query().cloned();
@@ -224,7 +224,7 @@
     Refusal::Malformed
 }
 
-fn denied_as(denied: Denied) -> Refusal {
+fn refusal_of(denied: Denied) -> Refusal {
     match denied {
         Denied::Route => Refusal::NoRoute,
         Denied::Key => Refusal::NoKey,
--- a/crates/relay/src/load_sync.rs
+++ b/crates/relay/src/load_sync.rs
@@ -1,7 +1,7 @@
 //! Exchange of load updates between the traffic thread and peers.
 
 use {
-    crate::{budget::Budgets, fleet::Fleet, rollouts::Trial},
+    crate::{budget::Budgets, fleet::Fleet, rollouts::RolloutSample},
     bilberryfront_decide::member::message::Load,
     compact_str::CompactString,
     std::time::Duration,
@@ -12,9 +12,9 @@
 };
 
 /// Delay in which changes are batched.
-const GATHER: Duration = Duration::from_millis(2);
+const BATCH_DELAY: Duration = Duration::from_millis(2);
 /// Interval of full updates, which repair lost ones.
-const REFRESH: Duration = Duration::from_secs(1);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A peer's update.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// Updates of this node.
     pub updates: mpsc::UnboundedSender<Load>,
     /// Outcomes of requests during a rollout.
-    pub trials: mpsc::UnboundedSender<Trial>,
+    pub samples: mpsc::UnboundedSender<RolloutSample>,
     /// Updates of peers.
     pub peer_reports: mpsc::UnboundedReceiver<PeerReport>,
 }
@@ -38,12 +38,12 @@
 /// Sends changes of the fleet's load and of the retry budgets, and applies those of peers.
 pub async fn sync(fleet: Fleet, budgets: Budgets, mut channels: Channels) {
     let changed = fleet.changes();
-    let mut refresh = interval(REFRESH);
+    let mut refresh = interval(REFRESH_INTERVAL);
     refresh.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let load = tokio::select! {
             () = changed.notified() => {
-                sleep(GATHER).await;
+                sleep(BATCH_DELAY).await;
                 Load { budgets: budgets.take_update(), ..fleet.take_update() }
             }
             _ = refresh.tick() => Load { budgets: budgets.snapshot(), ..fleet.snapshot() },
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -17,7 +17,7 @@
 };
 
 /// Bucket bounds of the latency histograms, in seconds.
-const BOUNDS: [f64; 14] =
+const LATENCY_BUCKETS: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.7, 1.0, 2.0, 4.5, 10.0, 25.0];
 
 /// Route kind.
@@ -69,20 +69,20 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     kind: KindLabel,
     outcome: Outcome,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct OfKind {
+struct KindLabels {
     kind: KindLabel,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct OfCause {
+struct CauseLabels {
     cause: Cause,
 }
 
@@ -96,13 +96,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct OfSend {
+struct SendLabels {
     send: Send,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct OfResume {
+struct ResumeLabels {
     from: Resume,
 }
 
@@ -110,12 +110,12 @@
 #[derive(Clone)]
 pub struct Metrics {
     registry: Arc<Registry>,
-    ended: Family<Ended, Counter>,
-    latency: Family<OfKind, Histogram>,
-    refused: Family<OfCause, Counter>,
-    resumed: Family<OfResume, Counter>,
-    limited: Family<OfSend, Counter>,
-    pause: Family<OfResume, Histogram>,
+    ended: Family<RequestLabels, Counter>,
+    latency: Family<KindLabels, Histogram>,
+    refused: Family<CauseLabels, Counter>,
+    resumed: Family<ResumeLabels, Counter>,
+    limited: Family<SendLabels, Counter>,
+    pause: Family<ResumeLabels, Histogram>,
     store: Counter,
     volume: Volume,
     version: Gauge,
@@ -177,21 +177,21 @@
 }
 
 fn histogram() -> Histogram {
-    Histogram::new(BOUNDS)
+    Histogram::new(LATENCY_BUCKETS)
 }
 
 impl Metrics {
     /// Counts a finished request; `latency` is the time to the response or first event.
-    pub fn ended(&self, kind: Kind, outcome: Outcome, latency: Option<Duration>) {
+    pub fn count_request(&self, kind: Kind, outcome: Outcome, latency: Option<Duration>) {
         let kind = label(kind);
-        self.ended.get_or_create(&Ended { kind, outcome }).inc();
+        self.ended.get_or_create(&RequestLabels { kind, outcome }).inc();
         if let Some(latency) = latency {
-            self.latency.get_or_create(&OfKind { kind }).observe(latency.as_secs_f64());
+            self.latency.get_or_create(&KindLabels { kind }).observe(latency.as_secs_f64());
         }
     }
 
     /// Counts a rejection.
-    pub fn refused(&self, refusal: Refusal) {
+    pub fn count_refusal(&self, refusal: Refusal) {
         let cause = match refusal {
             Refusal::Malformed => Cause::Malformed,
             Refusal::NoRoute => Cause::NoRoute,
@@ -201,23 +201,23 @@
             Refusal::Lost => Cause::Lost,
             Refusal::Timeout => Cause::Timeout,
         };
-        self.refused.get_or_create(&OfCause { cause }).inc();
+        self.refused.get_or_create(&CauseLabels { cause }).inc();
     }
 
     /// Counts a request sent to a runner that limits its rate, after `earlier` sends of it.
     pub fn count_limited_send(&self, earlier: u32) {
         let send = if earlier == 0 { Send::First } else { Send::Repeat };
-        self.limited.get_or_create(&OfSend { send }).inc();
+        self.limited.get_or_create(&SendLabels { send }).inc();
     }
 
     /// Counts a stream resumed after `pause`.
-    pub fn resumed(&self, from: Resume, pause: Duration) {
-        self.resumed.get_or_create(&OfResume { from }).inc();
-        self.pause.get_or_create(&OfResume { from }).observe(pause.as_secs_f64());
+    pub fn count_resume(&self, from: Resume, pause: Duration) {
+        self.resumed.get_or_create(&ResumeLabels { from }).inc();
+        self.pause.get_or_create(&ResumeLabels { from }).observe(pause.as_secs_f64());
     }
 
     /// Counts a store outage.
-    pub fn store_failed(&self) {
+    pub fn count_store_failure(&self) {
         self.store.inc();
     }
 
@@ -227,13 +227,13 @@
     }
 
     /// Counts bytes sent to peers.
-    pub fn peer_sent(&self, message: &PeerMessage, bytes: usize) {
-        self.volume.peer_sent(message, bytes);
+    pub fn count_peer_bytes(&self, message: &PeerMessage, bytes: usize) {
+        self.volume.count_peer_bytes(message, bytes);
     }
 
     /// Counts a poll of the store.
-    pub fn store_polled(&self, table: &str, outcome: PollOutcome) {
-        self.volume.store_polled(table, outcome);
+    pub fn count_store_poll(&self, table: &str, outcome: PollOutcome) {
+        self.volume.count_store_poll(table, outcome);
     }
 
     /// Sets the gauges of the current view.
@@ -244,7 +244,7 @@
     }
 
     /// Encodes all metrics; `open` is the number of requests in flight.
-    pub fn text(&self, open: usize) -> String {
+    pub fn encode(&self, open: usize) -> String {
         self.open.set(open as i64);
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string doesn't fail");
--- a/crates/relay/src/metrics/volume.rs
+++ b/crates/relay/src/metrics/volume.rs
@@ -69,30 +69,30 @@
 /// Counters.
 #[derive(Clone, Default)]
 pub(super) struct Volume {
-    count_runner_bytes: Family<RunnerBytes, Counter>,
+    runner_bytes: Family<RunnerBytes, Counter>,
     peer_sent: Family<PeerSent, Counter>,
     store_polled: Family<StorePolled, Counter>,
 }
 
 impl Volume {
     pub(super) fn register(&self, registry: &mut Registry) {
-        let count_runner_bytes = "Bytes of bodies exchanged with runners";
-        registry.register("runner_bytes", count_runner_bytes, self.count_runner_bytes.clone());
+        let runner_bytes = "Bytes of bodies exchanged with runners";
+        registry.register("runner_bytes", runner_bytes, self.runner_bytes.clone());
         let peer_sent = "Bytes of messages to other nodes, each counted for each receiver";
         registry.register("peer_bytes", peer_sent, self.peer_sent.clone());
         registry.register("store_polls", "Polls of the store", self.store_polled.clone());
     }
 
     pub(super) fn count_runner_bytes(&self, part: Part, border: bool, bytes: usize) {
-        self.count_runner_bytes.get_or_create(&RunnerBytes { part, border }).inc_by(bytes as u64);
+        self.runner_bytes.get_or_create(&RunnerBytes { part, border }).inc_by(bytes as u64);
     }
 
-    pub(super) fn peer_sent(&self, message: &PeerMessage, bytes: usize) {
+    pub(super) fn count_peer_bytes(&self, message: &PeerMessage, bytes: usize) {
         let kind = kind(message);
         self.peer_sent.get_or_create(&PeerSent { kind }).inc_by(bytes as u64);
     }
 
-    pub(super) fn store_polled(&self, table: &str, outcome: PollOutcome) {
+    pub(super) fn count_store_poll(&self, table: &str, outcome: PollOutcome) {
         self.store_polled.get_or_create(&StorePolled { table: table.into(), outcome }).inc();
     }
 }
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -13,7 +13,7 @@
 };
 
 /// Retention of tombstones; longer than any message is delayed.
-const TOMBSTONE: Duration = Duration::from_secs(60);
+const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
 /// A table that is read by some nodes and forwarded to the others.
 ///
@@ -64,14 +64,15 @@
         let first = self.revision.is_none();
         let listed: std::collections::BTreeSet<&str> =
             rows.iter().map(|r| r.key.as_str()).collect();
-        let gone = |(key, version): (&CompactString, &Version)| {
-            let gone = version.value.is_some()
+        let removed = |(key, version): (&CompactString, &Version)| {
+            let is_removed = version.value.is_some()
                 && version.revision <= revision
                 && !listed.contains(key.as_str());
-            gone.then(|| Row { key: key.clone(), value: None, revision })
+            is_removed.then(|| Row { key: key.clone(), value: None, revision })
         };
-        let gone: Vec<Row> = self.rows.iter().filter_map(gone).collect();
-        let changed = gone.into_iter().chain(rows).filter(|row| self.put(now, row)).collect();
+        let removed_rows: Vec<Row> = self.rows.iter().filter_map(removed).collect();
+        let changed =
+            removed_rows.into_iter().chain(rows).filter(|row| self.put(now, row)).collect();
         self.revision = Some(self.revision.unwrap_or_default().max(revision));
         if first { self.rows() } else { changed }
     }
@@ -105,7 +106,7 @@
 
     fn prune(&mut self, now: Instant) {
         while let Some((at, key)) = self.removed.front() {
-            if now < *at + TOMBSTONE {
+            if now < *at + TOMBSTONE_TTL {
                 return;
             }
             if self.rows.get(key).is_some_and(|version| version.value.is_none()) {
--- a/crates/relay/src/network.rs
+++ b/crates/relay/src/network.rs
@@ -11,11 +11,11 @@
 };
 
 /// `TCP_USER_TIMEOUT`: detects a peer that is powered off or partitioned.
-const DEAD_AFTER: Duration = Duration::from_secs(3);
+const USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Keep-alive idle time and interval.
-const ASK_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered keep-alive probes before the connection is closed.
-const ASK_TIMES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Opens connections; tests substitute an in-memory transport.
 pub trait Network: Clone + 'static {
@@ -41,9 +41,10 @@
         let stream = timeout(limit, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
-        let keepalive = TcpKeepalive::new().with_time(ASK_AFTER).with_interval(ASK_AFTER);
-        socket.set_tcp_keepalive(&keepalive.with_retries(ASK_TIMES))?;
-        socket.set_tcp_user_timeout(Some(DEAD_AFTER))?;
+        let keepalive =
+            TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
+        socket.set_tcp_keepalive(&keepalive.with_retries(KEEPALIVE_PROBES))?;
+        socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
         Ok(stream)
     }
 }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -39,7 +39,7 @@
 pub type Result<T> = std::result::Result<T, NodeError>;
 
 /// Poll interval while waiting for requests in flight.
-const DRAIN_TICK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeout for sending the leave message.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -82,7 +82,7 @@
     let (end, ended) = oneshot::channel::<()>();
     let (done, finished) = mpsc::channel::<()>();
     let (load_sender, load_receiver) = unbounded_channel();
-    let (trial_sender, trial_receiver) = unbounded_channel();
+    let (sample_sender, sample_receiver) = unbounded_channel();
     let (report_sender, report_receiver) = unbounded_channel();
     let metrics = Metrics::default();
     let demand = Arc::new(Notify::new());
@@ -91,16 +91,16 @@
         let (settings, published, drain) = (settings.clone(), published.clone(), drain.clone());
         let runtime = runtime()?;
         move || {
-            let gone = async move { _ = ended.await };
+            let shutdown = async move { _ = ended.await };
             let channels = control::Channels {
                 updates: load_receiver,
-                trials: trial_receiver,
+                samples: sample_receiver,
                 peer_reports: report_sender,
                 demand: signal,
                 metrics,
             };
             let control =
-                control::run(settings, records, store(), published, drain, channels, gone);
+                control::run(settings, records, store(), published, drain, channels, shutdown);
             LocalSet::new().block_on(&runtime, control);
             drop(done);
         }
@@ -112,7 +112,7 @@
     let bounds = &settings.bounds;
     let mut traffic = Traffic::new(dialect, Tcp, published, bounds.allowance(), bounds.exposure());
     traffic.client.fleet.set_domain(&settings.domain);
-    traffic.trials = Some(trial_sender.clone());
+    traffic.samples = Some(sample_sender.clone());
     traffic.set_metrics(&metrics);
     let handler = Handler { traffic, drain, demand, max_addresses_ttl: settings.bounds.keep() };
     LocalSet::new().block_on(
@@ -120,7 +120,11 @@
         serve(
             settings,
             handler,
-            Channels { updates: load_sender, trials: trial_sender, peer_reports: report_receiver },
+            Channels {
+                updates: load_sender,
+                samples: sample_sender,
+                peer_reports: report_receiver,
+            },
         ),
     )?;
     _ = end.send(());
@@ -149,11 +153,11 @@
         start(address, Purpose::Metrics)?;
     }
     let name = settings.name.clone();
-    tokio::task::spawn_local(take_runners(handler.traffic.clone(), name));
+    tokio::task::spawn_local(apply_views(handler.traffic.clone(), name));
     let fleet = handler.traffic.client.fleet.clone();
     let budgets = handler.traffic.budgets.clone();
     tokio::task::spawn_local(load_sync::sync(fleet, budgets, channels));
-    tokio::task::spawn_local(signals(handler.drain.clone()));
+    tokio::task::spawn_local(handle_signals(handler.drain.clone()));
     log::info!(name = settings.name.as_str(), domain = settings.domain.as_str(),
         callers:% = settings.listen.callers; "{SERVES}");
     let at = handler.drain.started().await;
@@ -162,7 +166,7 @@
 }
 
 /// Applies published views to the fleet.
-async fn take_runners<D: Dialect>(traffic: Traffic<D, Tcp>, name: CompactString) {
+async fn apply_views<D: Dialect>(traffic: Traffic<D, Tcp>, name: CompactString) {
     let mut signal = traffic.published.watch();
     loop {
         let view = traffic.published.load();
@@ -177,7 +181,7 @@
     }
 }
 
-async fn signals(drain: Drain) {
+async fn handle_signals(drain: Drain) {
     let handlers = (signal(SignalKind::terminate()), signal(SignalKind::hangup()));
     let (Ok(mut terminate), Ok(mut hangup)) = handlers else {
         return log::error!("cannot install signal handlers: graceful shutdown is unavailable");
@@ -197,15 +201,15 @@
     close: &watch::Sender<bool>,
 ) {
     let end = handler.drain.kill_deadline(at);
-    let forgotten =
+    let expired =
         Drain::addresses_expire(at, ADDRESSES_TTL.min(handler.max_addresses_ttl)).min(end);
-    sleep_until(forgotten).await;
+    sleep_until(expired).await;
     close.send_replace(true);
     while handler.traffic.in_flight.get() > 0 && Instant::now() < end {
-        sleep(DRAIN_TICK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     // Leaves time to flush the last responses.
-    sleep(DRAIN_TICK).await;
+    sleep(DRAIN_POLL_INTERVAL).await;
     let open = handler.traffic.in_flight.get();
     log::info!(open = open as u64, after = at.elapsed().as_millis() as u64; "drained");
 }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -20,12 +20,12 @@
 /// Connect timeout; shorter than the retransmission of a lost SYN.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle timeout assumed for runners that state none.
-const IDLE_DEFAULT: Duration = Duration::from_millis(900);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Share of the runner's idle timeout after which a connection is no longer reused; a request sent
 /// while the runner closes it would be lost.
 const IDLE_SHARE: f64 = 0.6;
 /// Maximum idle connections per runner.
-const IDLE_MOST: usize = 16;
+const MAX_IDLE: usize = 16;
 
 /// Why a send got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,7 +99,7 @@
 
 #[derive(Debug)]
 struct Idle {
-    line: Connection,
+    connection: Connection,
     until: Instant,
 }
 
@@ -107,19 +107,19 @@
     /// Takes the most recently used connection that is still usable.
     pub fn take(&mut self, now: Instant) -> Option<Connection> {
         while let Some(idle) = self.idle.pop() {
-            if now < idle.until && idle.line.is_usable() {
-                return Some(idle.line);
+            if now < idle.until && idle.connection.is_usable() {
+                return Some(idle.connection);
             }
         }
         None
     }
 
     /// Returns a connection; `limit` is the runner's idle timeout.
-    pub fn put(&mut self, now: Instant, line: Connection, limit: Option<Duration>) {
+    pub fn put(&mut self, now: Instant, connection: Connection, limit: Option<Duration>) {
         self.idle.retain(|i| now < i.until);
-        if self.idle.len() < IDLE_MOST {
-            let until = now + limit.map_or(IDLE_DEFAULT, |l| l.mul_f64(IDLE_SHARE));
-            self.idle.push(Idle { line, until });
+        if self.idle.len() < MAX_IDLE {
+            let until = now + limit.map_or(DEFAULT_IDLE_TIMEOUT, |l| l.mul_f64(IDLE_SHARE));
+            self.idle.push(Idle { connection, until });
         }
     }
 
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -16,17 +16,17 @@
 /// Readers per failure domain.
 pub const READERS: usize = 2;
 /// Interval of the readers' reports.
-pub const REPORT_EVERY: Duration = Duration::from_millis(400);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Age at which a report expires.
-const LATE: Duration = Duration::from_millis(1_200);
+const REPORT_TTL: Duration = Duration::from_millis(1_200);
 /// Time after the start for which the readers' first report is awaited.
-const START: Duration = Duration::from_millis(150);
+const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Deputies that take over one after the other; beyond them, attempts are random.
 const DEPUTIES: usize = 4;
 /// Delay between the deputies' attempts.
-const STEP: Duration = Duration::from_millis(100);
+const DEPUTY_INTERVAL: Duration = Duration::from_millis(100);
 /// Mean time between attempts in a domain while the store is unavailable.
-const ATTEMPT_EVERY: Duration = Duration::from_millis(500);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Nodes of one failure domain by rank.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -92,7 +92,7 @@
     reports: BTreeMap<CompactString, Report>,
     /// When the election started; `None` while the other nodes are unknown.
     start: Option<Instant>,
-    attempt: Option<Instant>,
+    attempt_at: Option<Instant>,
     rng: SmallRng,
 }
 
@@ -100,7 +100,13 @@
     /// A node that takes no part before [`Election::start`].
     pub fn new(seed: u64) -> Election {
         let rng = SmallRng::seed_from_u64(seed);
-        Election { role: Role::Standby, reports: BTreeMap::new(), start: None, attempt: None, rng }
+        Election {
+            role: Role::Standby,
+            reports: BTreeMap::new(),
+            start: None,
+            attempt_at: None,
+            rng,
+        }
     }
 
     /// Starts the election.
@@ -114,19 +120,25 @@
     }
 
     /// Takes a reader's report.
-    pub fn report(&mut self, now: Instant, from: &CompactString, rank: usize, available: bool) {
-        self.reports.retain(|_, report| now < report.at + LATE);
+    pub fn record_report(
+        &mut self,
+        now: Instant,
+        from: &CompactString,
+        rank: usize,
+        available: bool,
+    ) {
+        self.reports.retain(|_, report| now < report.at + REPORT_TTL);
         self.reports.insert(from.clone(), Report { at: now, rank, available });
     }
 
     /// Takes the outcome of an own poll.
-    pub fn polled(&mut self, now: Instant, ok: bool, ranking: &Ranking) {
+    pub fn record_poll(&mut self, now: Instant, ok: bool, ranking: &Ranking) {
         match (self.role, ok) {
             (Role::Attempt, true) => self.role = Role::Reader,
             (Role::Attempt | Role::Reader, false) => {
                 self.role = Role::Standby;
-                let pause = ATTEMPT_EVERY.mul_f64(ranking.len() as f64);
-                self.attempt = Some(now + pause.mul_f64(self.rng.random_range(0.5..1.5)));
+                let pause = ATTEMPT_INTERVAL.mul_f64(ranking.len() as f64);
+                self.attempt_at = Some(now + pause.mul_f64(self.rng.random_range(0.5..1.5)));
             }
             _ => {}
         }
@@ -149,8 +161,10 @@
             Role::Attempt => {}
             Role::Reader if self.is_relieved(now, rank) => self.role = Role::Standby,
             Role::Reader => {}
-            Role::Standby if self.has_reader(now) => self.attempt = None,
-            Role::Standby => self.schedule(now, now.max(start + START), rank, ranking.len()),
+            Role::Standby if self.has_reader(now) => self.attempt_at = None,
+            Role::Standby => {
+                self.schedule(now, now.max(start + FIRST_REPORT_TIMEOUT), rank, ranking.len())
+            }
         }
         self.role != Role::Standby
     }
@@ -162,25 +176,25 @@
 
     /// Attempts to read once it is this node's turn, which is not before `first`.
     fn schedule(&mut self, now: Instant, first: Instant, rank: usize, size: usize) {
-        let at = match self.attempt {
+        let at = match self.attempt_at {
             Some(at) => at,
             None => {
                 let delay = match rank - READERS {
-                    deputy if deputy < DEPUTIES => STEP * deputy as u32,
-                    _ => ATTEMPT_EVERY.mul_f64(size as f64).mul_f64(self.rng.random()),
+                    deputy if deputy < DEPUTIES => DEPUTY_INTERVAL * deputy as u32,
+                    _ => ATTEMPT_INTERVAL.mul_f64(size as f64).mul_f64(self.rng.random()),
                 };
-                *self.attempt.insert(first + delay)
+                *self.attempt_at.insert(first + delay)
             }
         };
         if now >= at {
             self.role = Role::Attempt;
-            self.attempt = None;
+            self.attempt_at = None;
         }
     }
 }
 
 impl Report {
     fn is_available(&self, now: Instant) -> bool {
-        self.available && now < self.at + LATE
+        self.available && now < self.at + REPORT_TTL
     }
 }
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -43,19 +43,23 @@
     }
 
     /// The response to request `id`.
-    pub fn answer<D: Dialect>(self, dialect: &D, id: Option<&str>) -> Response<ResponseBody> {
+    pub fn into_response<D: Dialect>(
+        self,
+        dialect: &D,
+        id: Option<&str>,
+    ) -> Response<ResponseBody> {
         let retry = match self {
             Refusal::NotRun { retry } => Some(retry),
             _ => None,
         };
-        let mut answer = Response::new(ResponseBody::empty());
-        *answer.status_mut() = self.status();
-        *answer.headers_mut() = dialect.rejection_headers(id, retry);
+        let mut response = Response::new(ResponseBody::empty());
+        *response.status_mut() = self.status();
+        *response.headers_mut() = dialect.rejection_headers(id, retry);
         if self == Refusal::NoKey {
             // RFC 9110, 15.5.2: a 401 names the scheme to use.
             let scheme = header::HeaderValue::from_static("Bearer");
-            answer.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
+            response.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
         }
-        answer
+        response
     }
 }
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -11,7 +11,7 @@
 pub use self::track::{Action, Phase};
 
 use {
-    self::track::Track,
+    self::track::Rollout,
     crate::view::Splits,
     bilberryfront_decide::{
         id::Incarnation,
@@ -46,7 +46,7 @@
 
 /// Outcome of a request during a rollout.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trial {
+pub struct RolloutSample {
     /// Service.
     pub service: CompactString,
     /// Route.
@@ -66,50 +66,50 @@
 /// All rollouts.
 pub struct Rollouts {
     me: Incarnation,
-    tracks: BTreeMap<CompactString, Track>,
-    records: BTreeMap<CompactString, (u64, RolloutStatus)>,
+    rollouts: BTreeMap<CompactString, Rollout>,
+    statuses: BTreeMap<CompactString, (u64, RolloutStatus)>,
 }
 
 impl Rollouts {
     /// No rollouts.
     pub fn new(me: Incarnation) -> Rollouts {
-        Rollouts { me, tracks: BTreeMap::new(), records: BTreeMap::new() }
+        Rollouts { me, rollouts: BTreeMap::new(), statuses: BTreeMap::new() }
     }
 
     /// Applies an order with its store revision.
-    pub fn order(&mut self, now: Instant, revision: u64, order: RolloutOrder) {
-        let known = self.tracks.get(&order.service).is_some_and(|t| t.revision() >= revision);
+    pub fn apply_order(&mut self, now: Instant, revision: u64, order: RolloutOrder) {
+        let known = self.rollouts.get(&order.service).is_some_and(|t| t.revision() >= revision);
         if known {
             return;
         }
         log::info!(service = order.service.as_str(), to = order.to.as_str(), revision,
             time = order.time.as_millis() as u64; "rollout ordered");
         let service = order.service.clone();
-        let mut track = Track::new(now, self.me, revision, order);
-        if let Some((written, record)) = self.records.get(&service) {
-            track.record(*written, record);
+        let mut rollout = Rollout::new(now, self.me, revision, order);
+        if let Some((written, status)) = self.statuses.get(&service) {
+            rollout.apply_status(*written, status);
         }
-        self.tracks.insert(service, track);
+        self.rollouts.insert(service, rollout);
     }
 
     /// Applies a stored status with its store revision.
-    pub fn record(&mut self, revision: u64, record: RolloutStatus) {
-        if let Some(track) = self.tracks.get_mut(&record.service) {
-            track.record(revision, &record);
+    pub fn apply_status(&mut self, revision: u64, status: RolloutStatus) {
+        if let Some(rollout) = self.rollouts.get_mut(&status.service) {
+            rollout.apply_status(revision, &status);
         }
-        self.records.insert(record.service.clone(), (revision, record));
+        self.statuses.insert(status.service.clone(), (revision, status));
     }
 
     /// Records an outcome.
-    pub fn observe(&mut self, trial: &Trial) {
-        if let Some(track) = self.tracks.get_mut(&trial.service) {
-            track.observe(&Sample {
-                choice: trial.choice,
-                route: &trial.route,
-                ok: trial.ok,
-                first: trial.first,
-                pace: trial.pace,
-                runner: trial.runner,
+    pub fn observe(&mut self, sample: &RolloutSample) {
+        if let Some(rollout) = self.rollouts.get_mut(&sample.service) {
+            rollout.observe(&Sample {
+                choice: sample.choice,
+                route: &sample.route,
+                ok: sample.ok,
+                first: sample.first,
+                pace: sample.pace,
+                runner: sample.runner,
                 account: 0,
             });
         }
@@ -117,33 +117,35 @@
 
     /// Applies a peer's message.
     pub fn handle_peer_update(&mut self, now: Instant, news: &PeerNews) {
-        if let Some(track) = self.tracks.get_mut(&news.entry) {
-            track.handle_peer_update(now, news);
+        if let Some(rollout) = self.rollouts.get_mut(&news.entry) {
+            rollout.handle_peer_update(now, news);
         }
     }
 
     /// Sets the number of ready runners of the new version.
-    pub fn runners(&mut self, service: &str, new: usize) {
-        if let Some(track) = self.tracks.get_mut(service) {
-            track.runners(new);
+    pub fn set_ready_runners(&mut self, service: &str, new: usize) {
+        if let Some(rollout) = self.rollouts.get_mut(service) {
+            rollout.set_ready_runners(new);
         }
     }
 
     /// Target versions by service.
     pub fn pending_versions(&self) -> Vec<(CompactString, CompactString)> {
-        let each = self.tracks.iter().map(|(service, track)| (service.clone(), track.to().clone()));
+        let each =
+            self.rollouts.iter().map(|(service, rollout)| (service.clone(), rollout.to().clone()));
         each.collect()
     }
 
     /// Advances time. `rank` is this node's position among `nodes`: the first one writes, the next
     /// ones only if it has not.
     pub fn tick(&mut self, now: Instant, rank: usize, nodes: usize) -> Vec<Action> {
-        self.tracks.values_mut().flat_map(|track| track.tick(now, rank, nodes)).collect()
+        self.rollouts.values_mut().flat_map(|rollout| rollout.tick(now, rank, nodes)).collect()
     }
 
     /// Current request splits.
     pub fn splits(&self) -> Splits {
-        let each = self.tracks.iter().map(|(service, track)| (service.clone(), track.split()));
+        let each =
+            self.rollouts.iter().map(|(service, rollout)| (service.clone(), rollout.split()));
         Arc::new(each.collect())
     }
 }
--- a/crates/relay/src/rollouts/exposure.rs
+++ b/crates/relay/src/rollouts/exposure.rs
@@ -12,7 +12,7 @@
 /// just joined.
 const MARGIN: f64 = 0.6;
 /// Share of the requests sent to the new version while the bound allows.
-pub(super) const SHARE: Share = Share(2_500);
+pub(super) const CANARY_SHARE: Share = Share(2_500);
 
 /// Global bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,17 +39,17 @@
         }
         self.all += 1;
         let share = match split.rule {
-            Rule::Old => Share::NONE,
-            Rule::New => Share::ALL,
-            Rule::Trial if self.is_free(bound, nodes) => SHARE,
-            Rule::Trial => Share::NONE,
+            Rule::OnlyOld => Share::NONE,
+            Rule::OnlyNew => Share::ALL,
+            Rule::Canary if self.has_budget(bound, nodes) => CANARY_SHARE,
+            Rule::Canary => Share::NONE,
         };
         let new = share.holds(hash);
         self.new += u32::from(new);
         Choice { id: Some(split.id), new, share }
     }
 
-    fn is_free(&self, bound: &Bound, nodes: usize) -> bool {
+    fn has_budget(&self, bound: &Bound, nodes: usize) -> bool {
         let slack = bound.slack / nodes.max(1) as f64;
         let allowed = bound.share * f64::from(self.all) + slack;
         f64::from(self.new) + 1.0 <= allowed * MARGIN
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -1,7 +1,7 @@
 //! State machine of one rollout.
 
 use {
-    super::{RolloutOrder, RolloutStatus, exposure::SHARE},
+    super::{RolloutOrder, RolloutStatus, exposure::CANARY_SHARE},
     crate::view::{Rule, Split},
     bilberryfront_decide::{
         chart::Chart,
@@ -26,21 +26,21 @@
 
 /// Share of the time after which a healthy version is completed; the rest covers the write and a
 /// fail-over of the writer.
-const DECIDE: f64 = 0.85;
+const COMPLETE_SHARE: f64 = 0.85;
 /// Share of the time after which it is completed with little evidence, or rolled back.
-const LAST_CALL: f64 = 0.94;
-/// Finished requests of the new version required at [`DECIDE`].
-const NEED: u32 = 12;
+const FINAL_SHARE: f64 = 0.94;
+/// Finished requests of the new version required at [`COMPLETE_SHARE`].
+const MIN_FINISHED: u32 = 12;
 /// Bad events beyond its share that are attributed to chance.
-const CHANCE: f64 = 2.0;
+const CHANCE_EVENTS: f64 = 2.0;
 /// Evaluation interval.
-const EVALUATE_EVERY: Duration = Duration::from_millis(200);
+const EVALUATE_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval of messages to peers.
-const REPORT_EVERY: Duration = Duration::from_millis(400);
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Delay between the writers' turns.
 const WRITER_STAGGER: Duration = Duration::from_millis(300);
 /// Delay before a write is retried.
-const RETRY: Duration = Duration::from_millis(700);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Phase; see `charts/rollout.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -73,15 +73,15 @@
     /// Write this status if the stored one has revision `expected` (0: none).
     Write {
         /// Status.
-        record: RolloutStatus,
+        status: RolloutStatus,
         /// Expected revision.
         expected: u64,
     },
     /// Send to all peers.
-    Tell(PeerNews),
+    Broadcast(PeerNews),
 }
 
-pub(super) struct Track {
+pub(super) struct Rollout {
     me: Incarnation,
     revision: u64,
     order: RolloutOrder,
@@ -104,9 +104,14 @@
     sequence: u64,
 }
 
-impl Track {
-    pub(super) fn new(now: Instant, me: Incarnation, revision: u64, order: RolloutOrder) -> Track {
-        Track {
+impl Rollout {
+    pub(super) fn new(
+        now: Instant,
+        me: Incarnation,
+        revision: u64,
+        order: RolloutOrder,
+    ) -> Rollout {
+        Rollout {
             me,
             revision,
             start: now,
@@ -136,15 +141,15 @@
         &self.order.to
     }
 
-    pub(super) fn runners(&mut self, new: usize) {
+    pub(super) fn set_ready_runners(&mut self, new: usize) {
         self.runners = new;
     }
 
     /// Applies a stored status; one older than the order belongs to an earlier rollout.
-    pub(super) fn record(&mut self, revision: u64, record: &RolloutStatus) {
-        let mine = revision > self.revision && record.to == self.order.to;
-        self.recorded = (revision, mine.then_some(record.phase));
-        match record.phase {
+    pub(super) fn apply_status(&mut self, revision: u64, status: &RolloutStatus) {
+        let mine = revision > self.revision && status.to == self.order.to;
+        self.recorded = (revision, mine.then_some(status.phase));
+        match status.phase {
             Phase::Completed if mine && self.phase == Phase::RolledBack => {
                 self.transition(Signal::RecordedCompleted);
             }
@@ -174,16 +179,16 @@
 
     pub(super) fn split(&self) -> Split {
         let rule = match self.phase {
-            Phase::Canary => Rule::Trial,
-            Phase::Completed => Rule::New,
-            Phase::RolledBack => Rule::Old,
+            Phase::Canary => Rule::Canary,
+            Phase::Completed => Rule::OnlyNew,
+            Phase::RolledBack => Rule::OnlyOld,
         };
         Split { id: self.id(), to: self.order.to.clone(), rule }
     }
 
     pub(super) fn tick(&mut self, now: Instant, rank: usize, nodes: usize) -> Vec<Action> {
         self.evaluate(now, nodes);
-        let report = self.report(now).map(Action::Tell);
+        let report = self.report(now).map(Action::Broadcast);
         let write = self.write(now, rank);
         report.into_iter().chain(write).collect()
     }
@@ -214,7 +219,7 @@
         if now < self.evaluate_at || self.phase != Phase::Canary {
             return;
         }
-        self.evaluate_at = now + EVALUATE_EVERY;
+        self.evaluate_at = now + EVALUATE_INTERVAL;
         self.pool.absorb(self.me, self.collector.evidence());
         if let Some(routes) = self.pool.news() {
             self.routes = routes;
@@ -224,7 +229,7 @@
             let verdict = Verdict { cause: found.cause, route: found.route, node: self.me };
             return self.roll_back(now, verdict);
         }
-        if now >= self.at(LAST_CALL) && !self.is_healthy(now, 1) {
+        if now >= self.at(FINAL_SHARE) && !self.is_healthy(now, 1) {
             let route = CompactString::default();
             self.roll_back(now, Verdict { cause: Cause::Deadline, route, node: self.me });
         }
@@ -239,8 +244,8 @@
     /// Whether the new version has more than its share of bad events; a shared outage affects both
     /// versions alike.
     fn is_worse(&self) -> bool {
-        let part = SHARE.fraction() * TOLERANCE;
-        let excess = |t: &Tally| f64::from(t.new) > f64::from(t.old + t.new) * part + CHANCE;
+        let part = CANARY_SHARE.fraction() * TOLERANCE;
+        let excess = |t: &Tally| f64::from(t.new) > f64::from(t.old + t.new) * part + CHANCE_EVENTS;
         self.routes.values().any(|counts| counts.bad.iter().any(excess))
     }
 
@@ -259,7 +264,7 @@
         if now < self.report_at || !open || (sequence == self.reported && self.verdict.is_none()) {
             return None;
         }
-        self.report_at = now + REPORT_EVERY;
+        self.report_at = now + REPORT_INTERVAL;
         self.reported = sequence;
         self.sequence += 1;
         Some(PeerNews {
@@ -284,10 +289,10 @@
         if self.is_over() || now < due + WRITER_STAGGER * rank as u32 || now < self.write_at {
             return None;
         }
-        self.write_at = now + RETRY;
+        self.write_at = now + WRITE_RETRY_DELAY;
         let RolloutOrder { service, to, .. } = self.order.clone();
-        let record = RolloutStatus { service, to, phase };
-        Some(Action::Write { record, expected: self.recorded.0 })
+        let status = RolloutStatus { service, to, phase };
+        Some(Action::Write { status, expected: self.recorded.0 })
     }
 
     /// The status that should be stored, and since when.
@@ -295,11 +300,13 @@
         match self.phase {
             Phase::Completed => None,
             Phase::RolledBack => Some((Phase::RolledBack, self.decided_at)),
-            Phase::Canary if now >= self.at(LAST_CALL) && self.is_healthy(now, 1) => {
-                Some((Phase::Completed, self.at(LAST_CALL)))
+            Phase::Canary if now >= self.at(FINAL_SHARE) && self.is_healthy(now, 1) => {
+                Some((Phase::Completed, self.at(FINAL_SHARE)))
             }
-            Phase::Canary if now >= self.at(DECIDE) && self.is_healthy(now, NEED) => {
-                Some((Phase::Completed, self.at(DECIDE)))
+            Phase::Canary
+                if now >= self.at(COMPLETE_SHARE) && self.is_healthy(now, MIN_FINISHED) =>
+            {
+                Some((Phase::Completed, self.at(COMPLETE_SHARE)))
             }
             Phase::Canary if self.recorded.1.is_none() => Some((Phase::Canary, self.start)),
             Phase::Canary => None,
--- a/crates/relay/src/runner_client.rs
+++ b/crates/relay/src/runner_client.rs
@@ -26,18 +26,18 @@
 };
 
 /// Maximum size of a buffered response.
-pub const ANSWER_BYTES: usize = 4 << 20;
+pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 /// Maximum size of a rejection's body that is read to reuse its connection.
-const REFUSAL_BYTES: usize = 16 << 10;
+const MAX_REJECTION_BYTES: usize = 16 << 10;
 /// Timeout for reading it.
-const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(50);
 /// Share of the latency objective after which a runner without a first event is probed.
-const PROBE_AFTER: f64 = 0.3;
+const PROBE_AFTER_SHARE: f64 = 0.3;
 /// Probe interval.
-const PROBE_EVERY: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 /// Generated but undelivered events after which a response counts as lost; a smaller difference may
 /// be in transit.
-const LOST_EVENTS: u32 = 8;
+const LOST_EVENT_COUNT: u32 = 8;
 /// Probe timeout.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Timeout of a cache lookup.
@@ -45,7 +45,7 @@
 /// Timeout of a replication request.
 const REPLICATE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Consecutive failed probes after which a runner counts as dead.
-const PROBES: u32 = 2;
+const MAX_FAILED_PROBES: u32 = 2;
 
 /// Outcome of a send.
 pub enum SendOutcome {
@@ -66,11 +66,11 @@
     /// Head.
     pub parts: Parts,
     /// Decoded headers.
-    pub answer: ResponseHead,
+    pub head: ResponseHead,
     /// Body.
     pub body: Incoming,
     /// Connection, reusable after the body.
-    pub line: Connection,
+    pub connection: Connection,
 }
 
 /// Client for all runners.
@@ -95,7 +95,7 @@
         call: &Call,
         endpoint: &Endpoint,
         options: &SendOptions,
-        until: Instant,
+        deadline: Instant,
     ) -> SendOutcome {
         let request = || {
             let headers = self.dialect.request_headers(call, options);
@@ -107,7 +107,7 @@
         if self.fleet.is_rate_limited(endpoint.key) {
             self.metrics.count_limited_send(options.earlier);
         }
-        let (response, line) = match self.exchange(endpoint, request, until).await {
+        let (response, connection) = match self.exchange(endpoint, request, deadline).await {
             Ok(answered) => answered,
             Err(SendError::Unsent) => {
                 log::info!(request = call.head.id.as_str(), runner = endpoint.id.as_str();
@@ -122,22 +122,22 @@
         };
         self.count_bytes(Part::Request, endpoint, call.body.len());
         let (mut parts, body) = response.into_parts();
-        let answer = self.dialect.parse_response(&parts);
-        self.apply_signals(endpoint, &answer);
-        if answer.not_run {
+        let head = self.dialect.parse_response(&parts);
+        self.apply_signals(endpoint, &head);
+        if head.not_run {
             log::info!(request = call.head.id.as_str(), runner = endpoint.id.as_str(),
                 status = parts.status.as_u16(), from_replica = options.from_replica.is_some(),
-                retry_after = answer.retry_after.unwrap_or_default().as_millis() as u64;
+                retry_after = head.retry_after.unwrap_or_default().as_millis() as u64;
                 "{NOT_RUN}");
-            self.finish_rejected(endpoint, &answer, body, line).await;
-            if let Some(id) = answer.runner.filter(|_| answer.misdirected) {
-                tokio::task::spawn_local(restart::recognize(self.clone(), endpoint.clone(), id));
+            self.finish_rejected(endpoint, &head, body, connection).await;
+            if let Some(id) = head.runner.filter(|_| head.misdirected) {
+                tokio::task::spawn_local(restart::identify(self.clone(), endpoint.clone(), id));
             }
             return SendOutcome::NotRun;
         }
         // A runner may send a surplus response, which would be read as the answer to the next
         // request on the connection.
-        if !answer.signed || !answer.is_for(&call.head.id) {
+        if !head.signed || !head.is_for(&call.head.id) {
             let status = parts.status.as_u16();
             log::warn!(request = call.head.id.as_str(), runner = endpoint.id.as_str(), status;
                 "response unsigned or for another request: connection closed");
@@ -145,36 +145,36 @@
         }
         headers::strip(&mut parts.headers);
         self.fleet.record_response(endpoint.key, Instant::now());
-        SendOutcome::Answered(Box::new(Reply { parts, answer, body, line }))
+        SendOutcome::Answered(Box::new(Reply { parts, head, body, connection }))
     }
 
     /// Applies the backpressure signals of a response. The absence of a rate limit ends one only in the
     /// response to a request that was run.
-    fn apply_signals(&self, endpoint: &Endpoint, answer: &ResponseHead) {
-        let is_own = (answer.signed || answer.not_run) && !answer.misdirected;
-        if let Some(time) = answer.retry_after.filter(|_| answer.not_run && !answer.misdirected) {
+    fn apply_signals(&self, endpoint: &Endpoint, head: &ResponseHead) {
+        let is_own = (head.signed || head.not_run) && !head.misdirected;
+        if let Some(time) = head.retry_after.filter(|_| head.not_run && !head.misdirected) {
             self.fleet.pause(endpoint.key, time);
         }
-        if is_own && answer.draining {
+        if is_own && head.draining {
             self.fleet.set_draining(endpoint.key);
         }
-        if is_own && (answer.rate_limit.is_some() || !answer.not_run) {
-            self.fleet.set_rate_limit(endpoint.key, answer.rate_limit);
+        if is_own && (head.rate_limit.is_some() || !head.not_run) {
+            self.fleet.set_rate_limit(endpoint.key, head.rate_limit);
         }
     }
 
     /// Reads the response body and returns the connection to the pool.
-    pub async fn whole(
+    pub async fn read_body(
         &self,
         reply: Box<Reply>,
         endpoint: &Endpoint,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(Parts, Bytes), SendError> {
-        let Reply { parts, answer, body, line } = *reply;
-        let read = Limited::new(body, ANSWER_BYTES).collect();
-        let read = timeout_at(until, read).await;
+        let Reply { parts, head, body, connection } = *reply;
+        let read = Limited::new(body, MAX_RESPONSE_BYTES).collect();
+        let read = timeout_at(deadline, read).await;
         let runner = endpoint.id.as_str();
-        let request = answer.id.as_deref().unwrap_or_default();
+        let request = head.id.as_deref().unwrap_or_default();
         let error = match read {
             Ok(Ok(bytes)) => {
                 let bytes = bytes.to_bytes();
@@ -183,7 +183,7 @@
                     log::info!(request, runner, status = parts.status.as_u16();
                         "{RUN_FAILED}");
                 }
-                self.fleet.return_connection(endpoint.key, line, answer.idle);
+                self.fleet.return_connection(endpoint.key, connection, head.idle);
                 return Ok((parts, bytes));
             }
             Ok(Err(_)) => SendError::Broken,
@@ -195,7 +195,7 @@
 
     /// Counts bytes exchanged with a runner.
     pub fn count_bytes(&self, part: Part, endpoint: &Endpoint, bytes: usize) {
-        self.metrics.count_runner_bytes(part, self.fleet.is_far(&endpoint.domain), bytes);
+        self.metrics.count_runner_bytes(part, self.fleet.is_remote(&endpoint.domain), bytes);
     }
 
     /// Resolves when a stream without a first event should move to another runner: the runner fails
@@ -203,24 +203,24 @@
     /// has lost the runner.
     pub async fn until_lost(&self, call: &Call, endpoint: &Endpoint) {
         tokio::select! {
-            () = sleep(call.route.objective.mul_f64(PROBE_AFTER)) => {}
+            () = sleep(call.route.objective.mul_f64(PROBE_AFTER_SHARE)) => {}
             () = self.fleet.until_lost(endpoint.key) => {}
         }
         let mut missed = 0;
-        while missed < PROBES {
+        while missed < MAX_FAILED_PROBES {
             if let Some(end) = self.fleet.paused_until(endpoint.key) {
                 sleep_until(end).await;
             }
             match self.progress(call, endpoint).await {
                 None => missed += 1,
-                Some(Progress::Made(events)) if events >= LOST_EVENTS => {
+                Some(Progress::Made(events)) if events >= LOST_EVENT_COUNT => {
                     log::info!(request = call.head.id.as_str(), runner = endpoint.id.as_str(), events;
                         "response lost, the runner has generated events");
                     return;
                 }
                 Some(_) => {
                     missed = 0;
-                    sleep(PROBE_EVERY).await;
+                    sleep(PROBE_INTERVAL).await;
                 }
             }
         }
@@ -234,8 +234,8 @@
 
     /// Tokens of the prompt in the runner's cache; 0 on failure.
     pub async fn cached_tokens(&self, endpoint: &Endpoint, prompt: u64) -> u32 {
-        let answer = self.get(endpoint, self.dialect.cache_path(), CACHE_TIMEOUT).await;
-        answer.map_or(0, |body| self.dialect.cached_tokens(&body, prompt))
+        let head = self.get(endpoint, self.dialect.cache_path(), CACHE_TIMEOUT).await;
+        head.map_or(0, |body| self.dialect.cached_tokens(&body, prompt))
     }
 
     /// Replicates a run to another runner; returns the handle when complete.
@@ -247,8 +247,8 @@
     ) -> Option<CompactString> {
         let options = self.dialect.replicate_body(id, to.address).into();
         let path = self.dialect.replicate_path();
-        let answer = self.query(source, &Method::POST, path, options, REPLICATE_TIMEOUT).await?;
-        self.dialect.replicated_handle(&answer)
+        let head = self.query(source, &Method::POST, path, options, REPLICATE_TIMEOUT).await?;
+        self.dialect.replicated_handle(&head)
     }
 
     /// Drops a replica at both ends.
@@ -286,16 +286,16 @@
         let path = PathAndQuery::from_str(path).ok()?;
         let request = || request(method, &path, endpoint.address, HeaderMap::new(), body.clone());
         let asked = async {
-            let until = Instant::now() + limit;
-            let (response, line) = self.exchange(endpoint, request, until).await.ok()?;
+            let deadline = Instant::now() + limit;
+            let (response, connection) = self.exchange(endpoint, request, deadline).await.ok()?;
             let (parts, body) = response.into_parts();
-            let answer = self.dialect.parse_response(&parts);
-            if answer.draining {
+            let head = self.dialect.parse_response(&parts);
+            if head.draining {
                 self.fleet.set_draining(endpoint.key);
             }
-            let body = Limited::new(body, ANSWER_BYTES).collect().await.ok()?.to_bytes();
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.ok()?.to_bytes();
             self.fleet.record_response(endpoint.key, Instant::now());
-            self.fleet.return_connection(endpoint.key, line, answer.idle);
+            self.fleet.return_connection(endpoint.key, connection, head.idle);
             parts.status.is_success().then_some(body)
         };
         timeout(limit, asked).await.ok()?
@@ -307,36 +307,37 @@
         &self,
         endpoint: &Endpoint,
         request: impl Fn() -> Request<Full<Bytes>>,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(http::Response<Incoming>, Connection), SendError> {
-        if let Some(mut line) = self.fleet.take_idle_connection(endpoint.key, Instant::now()) {
-            match line.send(request(), until).await {
-                Ok(response) => return Ok((response, line)),
+        if let Some(mut connection) = self.fleet.take_idle_connection(endpoint.key, Instant::now())
+        {
+            match connection.send(request(), deadline).await {
+                Ok(response) => return Ok((response, connection)),
                 Err(SendError::Unsent) => {}
                 Err(error) => return Err(error),
             }
         }
-        let mut line = Connection::connect(&self.network, endpoint.address).await?;
-        let response = line.send(request(), until).await?;
-        Ok((response, line))
+        let mut connection = Connection::connect(&self.network, endpoint.address).await?;
+        let response = connection.send(request(), deadline).await?;
+        Ok((response, connection))
     }
 
     /// Drains a rejection so that its connection can be reused.
     async fn finish_rejected(
         &self,
         endpoint: &Endpoint,
-        answer: &ResponseHead,
+        head: &ResponseHead,
         body: Incoming,
-        line: Connection,
+        connection: Connection,
     ) {
         let now = Instant::now();
-        match answer.misdirected {
+        match head.misdirected {
             true => self.fleet.record_replacement(endpoint.key, now),
             false => self.fleet.record_overload(endpoint.key, now),
         }
-        let read = Limited::new(body, REFUSAL_BYTES).collect();
-        if let Ok(Ok(_)) = timeout(REFUSAL_TIMEOUT, read).await {
-            self.fleet.return_connection(endpoint.key, line, answer.idle);
+        let read = Limited::new(body, MAX_REJECTION_BYTES).collect();
+        if let Ok(Ok(_)) = timeout(REJECTION_TIMEOUT, read).await {
+            self.fleet.return_connection(endpoint.key, connection, head.idle);
         }
     }
 }
--- a/crates/relay/src/runner_client/restart.rs
+++ b/crates/relay/src/runner_client/restart.rs
@@ -18,12 +18,12 @@
 
 /// Checks whether runner `id`, found at the address of `endpoint`, is the same engine after a
 /// restart.
-pub(super) async fn recognize<D: Dialect, N: Network>(
+pub(super) async fn identify<D: Dialect, N: Network>(
     client: RunnerClient<D, N>,
     endpoint: Endpoint,
     id: CompactString,
 ) {
-    if !client.fleet.is_stranger(&id, Instant::now()) {
+    if !client.fleet.begin_identity_check(&id, Instant::now()) {
         return;
     }
     let identity = client.identity(&endpoint).await;
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -20,11 +20,11 @@
 /// Listen backlog; beyond it SYN packets are dropped and retransmitted after a second.
 const BACKLOG: i32 = 1_024;
 /// `TCP_USER_TIMEOUT` and keep-alive time of caller connections.
-const DEAD_AFTER: Duration = Duration::from_secs(5);
+const USER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay after a failed accept, mostly for lack of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Minimum buffer size accepted by hyper.
-const BUFFER: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,9 +56,9 @@
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => match prepare(&stream) {
+            Ok((stream, _)) => match configure(&stream) {
                 Ok(()) => {
-                    let serving = connection(stream, purpose, handler.clone(), close.clone());
+                    let serving = serve_connection(stream, purpose, handler.clone(), close.clone());
                     _ = tokio::task::spawn_local(serving);
                 }
                 // The caller is gone already.
@@ -66,27 +66,27 @@
             },
             Err(error) => {
                 log::warn!("cannot accept a connection: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Serves a connection; `close` closes it once it is idle.
-pub async fn connection<D: Dialect, N: Network>(
+pub async fn serve_connection<D: Dialect, N: Network>(
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
     purpose: Purpose,
     handler: Handler<D, N>,
     mut close: watch::Receiver<bool>,
 ) {
     let limits = limits(&handler.traffic.published);
-    let service = service_fn(|request| answer(&handler, purpose, request));
+    let service = service_fn(|request| respond(&handler, purpose, request));
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         // hyper applies this timeout to idle connections as well as to reading a head.
         .header_read_timeout(limits.idle.max(limits.reading))
-        .max_buf_size(limits.head.max(BUFFER));
+        .max_buf_size(limits.head.max(MIN_BUFFER_BYTES));
     let serving = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(serving);
     loop {
@@ -104,7 +104,7 @@
     }
 }
 
-async fn answer<D: Dialect, N: Network>(
+async fn respond<D: Dialect, N: Network>(
     handler: &Handler<D, N>,
     purpose: Purpose,
     request: Request<Incoming>,
@@ -112,15 +112,15 @@
     Ok(match purpose {
         Purpose::Requests => handler.handle_request(request).await,
         Purpose::Queries => handler.handle_query(&request),
-        Purpose::Metrics => handler.metrics(),
+        Purpose::Metrics => handler.handle_metrics(),
     })
 }
 
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(DEAD_AFTER))?;
-    socket.set_tcp_user_timeout(Some(DEAD_AFTER))
+    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(USER_TIMEOUT))?;
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
 fn limits(published: &Published) -> Limits {
--- a/crates/relay/src/table_sync.rs
+++ b/crates/relay/src/table_sync.rs
@@ -8,7 +8,7 @@
     crate::{
         control::feed::Change,
         mirror::Mirror,
-        readers::{Election, REPORT_EVERY, Ranking},
+        readers::{Election, REPORT_INTERVAL, Ranking},
         store::{Row, Rows},
     },
     bilberryfront_decide::member::{
@@ -22,13 +22,13 @@
 
 /// Time after an outage within which live runners re-register: 2 s by the platform's guarantee, plus
 /// propagation.
-const RELIST: Duration = Duration::from_millis(2_500);
+const REREGISTER_TIME: Duration = Duration::from_millis(2_500);
 /// Shortest time without the store after which registrations may have expired.
-const LAPSE: Duration = Duration::from_secs(2);
+const MIN_EXPIRY_TIME: Duration = Duration::from_secs(2);
 /// Interval of the reports to other domains.
-const EXCHANGE_EVERY: Duration = Duration::from_millis(800);
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(800);
 /// Minimum interval of requests for a table to the same node.
-const PULL_EVERY: Duration = Duration::from_millis(250);
+const PULL_INTERVAL: Duration = Duration::from_millis(250);
 /// Consecutive reports with another digest after which a table is requested; a single one may have
 /// overtaken an update.
 const MISMATCHES: u32 = 2;
@@ -75,18 +75,18 @@
     responsive: bool,
     /// Whether all tables are served.
     served: bool,
-    reported: Option<Instant>,
-    exchanged: Option<Instant>,
-    /// Last sign that the store is available, own or reported.
-    seen: Option<Instant>,
+    reported_at: Option<Instant>,
+    exchanged_at: Option<Instant>,
+    /// Last sign that the store is available, own or reported_at.
+    available_at: Option<Instant>,
     /// Whether the store is unavailable to this node and to all readers.
     outage: bool,
     /// Whether it is known to reject requests, rather than not known to be available.
-    refused: bool,
+    rejected: bool,
     /// End of the time in which removed runners may return.
     grace: Option<Instant>,
     /// Last request for missing tables.
-    pulled: Option<Instant>,
+    pulled_missing_at: Option<Instant>,
 }
 
 impl TableSync {
@@ -100,13 +100,13 @@
             polling: false,
             responsive: false,
             served: false,
-            reported: None,
-            exchanged: None,
-            seen: None,
+            reported_at: None,
+            exchanged_at: None,
+            available_at: None,
             outage: false,
-            refused: false,
+            rejected: false,
             grace: None,
-            pulled: None,
+            pulled_missing_at: None,
         }
     }
 
@@ -133,7 +133,7 @@
 
     /// Whether the store rejects requests of this node and of all readers.
     pub fn is_cut_off(&self) -> bool {
-        self.outage && self.refused
+        self.outage && self.rejected
     }
 
     /// Whether registrations of live runners may be missing.
@@ -169,31 +169,31 @@
     }
 
     /// Takes the result of an own poll.
-    pub fn polled(&mut self, now: Instant, table: TableId, change: Change, out: &mut Vec<Action>) {
-        let failed = matches!(change, Change::Down);
+    pub fn on_poll(&mut self, now: Instant, table: TableId, change: Change, out: &mut Vec<Action>) {
+        let failed = matches!(change, Change::Unavailable);
         self.tables[index(table)].failed = failed;
-        self.refused |= failed;
+        self.rejected |= failed;
         if table == TableId::Operators {
             self.responsive = !failed;
         }
         // Rollouts are rare: their statuses alone do not tell whether the store is available.
         if table != TableId::Statuses {
             self.served = !self.has_failed();
-            self.election.polled(now, self.served, &self.ranking);
+            self.election.record_poll(now, self.served, &self.ranking);
             let before = self.outage;
             self.update_outage(now);
             if before != self.outage {
-                self.reported = None;
+                self.reported_at = None;
             }
         }
         if !failed {
-            self.seen = Some(now);
+            self.available_at = Some(now);
         }
         let mirror = &mut self.tables[index(table)].mirror;
         let loaded = mirror.revision().is_some();
         let (rows, revision) = match change {
-            Change::Down | Change::Up => return,
-            Change::Whole(snapshot) => {
+            Change::Unavailable | Change::Available => return,
+            Change::Snapshot(snapshot) => {
                 let revision = snapshot.revision;
                 (mirror.replace(now, snapshot), revision)
             }
@@ -210,24 +210,24 @@
         // The first read is no change: nodes that lack rows request them after the next report.
         match loaded {
             true => out.push(Action::Broadcast(update(table, revision, false, grace, &rows))),
-            false => self.reported = None,
+            false => self.reported_at = None,
         }
         out.push(Action::Apply { table, rows, grace });
     }
 
     /// Takes a table that was read ahead of the replication.
-    pub fn loaded(&mut self, now: Instant, table: TableId, rows: Rows, out: &mut Vec<Action>) {
+    pub fn on_load(&mut self, now: Instant, table: TableId, rows: Rows, out: &mut Vec<Action>) {
         let rows = self.tables[index(table)].mirror.replace(now, rows);
         out.push(Action::Apply { table, rows, grace: Duration::ZERO });
     }
 
     /// Takes a row of the operators' table that gossip has brought.
-    pub fn gossiped(&mut self, now: Instant, row: Row) {
+    pub fn on_gossip(&mut self, now: Instant, row: Row) {
         self.tables[index(TableId::Operators)].mirror.merge(now, vec![row]);
     }
 
     /// Takes a peer's message.
-    pub fn received(
+    pub fn on_message(
         &mut self,
         now: Instant,
         from: &CompactString,
@@ -282,13 +282,13 @@
         out: &mut Vec<Action>,
     ) {
         let rank = self.ranking.rank(from);
-        self.election.report(now, from, rank, report.available);
-        self.refused |= !report.available;
+        self.election.record_report(now, from, rank, report.available);
+        self.rejected |= !report.available;
         self.update_outage(now);
         if !report.available {
             return;
         }
-        self.seen = Some(now);
+        self.available_at = Some(now);
         for digest in &report.digests {
             let table = &mut self.tables[index(digest.table)];
             if table.mirror.revision().is_some() && table.mirror.hash() == digest.hash {
@@ -298,7 +298,7 @@
             }
             table.mismatches += 1;
             let due = table.mirror.revision().is_none() || table.mismatches >= MISMATCHES;
-            if due && table.may_pull(now, from) {
+            if due && table.try_pull(now, from) {
                 let message = PeerMessage::TablePull(digest.table);
                 out.push(Action::Send(from.clone(), message));
             }
@@ -309,10 +309,10 @@
     fn pull_missing(&mut self, now: Instant, out: &mut Vec<Action>) {
         let missing = |table: &&TableId| self.tables[index(**table)].mirror.revision().is_none();
         let missing: Vec<TableId> = TableId::ALL.iter().filter(missing).copied().collect();
-        if self.pulled.is_some_and(|at| now < at + PULL_EVERY) {
+        if self.pulled_missing_at.is_some_and(|at| now < at + PULL_INTERVAL) {
             return;
         }
-        self.pulled = Some(now);
+        self.pulled_missing_at = Some(now);
         for reader in self.ranking.readers().iter().filter(|name| **name != self.me) {
             let pull = |id: &TableId| Action::Send(reader.clone(), PeerMessage::TablePull(*id));
             out.extend(missing.iter().map(pull));
@@ -329,10 +329,10 @@
     }
 
     fn report(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if is_due(&mut self.reported, now, REPORT_EVERY) {
+        if is_due(&mut self.reported_at, now, REPORT_INTERVAL) {
             out.push(Action::Broadcast(PeerMessage::StoreReport(self.store_report())));
         }
-        if self.served && is_due(&mut self.exchanged, now, EXCHANGE_EVERY) {
+        if self.served && is_due(&mut self.exchanged_at, now, EXCHANGE_INTERVAL) {
             out.push(Action::Exchange(PeerMessage::StoreReport(self.store_report())));
         }
     }
@@ -349,11 +349,11 @@
     fn update_outage(&mut self, now: Instant) {
         let available = (self.served && self.is_loaded()) || self.election.has_reader(now);
         if available && self.outage {
-            let lapsed = self.seen.is_some_and(|seen| now >= seen + LAPSE);
-            self.grace = lapsed.then_some(now + RELIST);
+            let lapsed = self.available_at.is_some_and(|at| now >= at + MIN_EXPIRY_TIME);
+            self.grace = lapsed.then_some(now + REREGISTER_TIME);
         }
         self.outage = !available;
-        self.refused &= self.outage;
+        self.rejected &= self.outage;
     }
 
     fn grace_left(&self, now: Instant) -> Duration {
@@ -362,9 +362,9 @@
 }
 
 impl Table {
-    fn may_pull(&mut self, now: Instant, from: &CompactString) -> bool {
+    fn try_pull(&mut self, now: Instant, from: &CompactString) -> bool {
         let last = self.pulled.as_ref();
-        let due = last.is_none_or(|(at, to)| to != from || now >= *at + PULL_EVERY);
+        let due = last.is_none_or(|(at, to)| to != from || now >= *at + PULL_INTERVAL);
         if due {
             self.pulled = Some((now, from.clone()));
             self.mismatches = 0;
--- a/crates/relay/src/view.rs
+++ b/crates/relay/src/view.rs
@@ -71,11 +71,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// Bounded.
-    Trial,
+    Canary,
     /// Everything.
-    New,
+    OnlyNew,
     /// Nothing.
-    Old,
+    OnlyOld,
 }
 
 /// Splits by service.
--- a/crates/relay/tests/domains.rs
+++ b/crates/relay/tests/domains.rs
@@ -53,7 +53,7 @@
         except: &[],
         prompt: None,
         memory,
-        away: None,
+        avoid_domain: None,
         version: None,
         stable: false,
     }
@@ -65,7 +65,7 @@
 async fn calls_stay_in_their_domain_while_half_of_its_slots_are_free() {
     for slots in [6, 48] {
         let fleet = fleet(1, slots);
-        let call = || fleet.call(fleet.choose(&criteria(0)).unwrap());
+        let call = || fleet.lease_call(fleet.choose(&criteria(0)).unwrap());
         let calls: Vec<_> = (0..slots).map(|_| call()).collect();
         let near = calls.iter().filter(|c| c.endpoint.domain == "a").count() as u32;
         assert!((slots / 2..=slots * 3 / 4).contains(&near), "{near} of {slots}");
@@ -79,7 +79,7 @@
 async fn calls_are_not_told_to_other_nodes() {
     let fleet = fleet(1, 6);
     let place: Endpoint = fleet.choose(&criteria(0)).unwrap();
-    let call = fleet.call(place.clone());
+    let call = fleet.lease_call(place.clone());
     assert!(fleet.take_update().is_empty() && fleet.snapshot().is_empty());
     drop(call);
     assert!(fleet.take_update().is_empty());
