--- a/crates/relay/tests/feed.rs
+++ b/crates/relay/tests/feed.rs
@@ -2,7 +2,7 @@
 
 use {
     bilberryfront_relay::{
-        control::feed::{Change, FeedEvent, FeedWatcher, PROBE_PAUSE, REST_PAUSE},
+        control::feed::{Change, FeedEvent, FeedWatcher, PROBE_BACKOFF_MAX, STANDBY_BACKOFF_MAX},
         metrics::Metrics,
         store::{Result, Revision, Row, Rows, Store, StoreError, Write},
     },
@@ -65,7 +65,7 @@
     LocalSet::new()
         .run_until(async {
             let store = Silent::default();
-            let returns = watch::Sender::new(0);
+            let recoveries = watch::Sender::new(0);
             let active = watch::Sender::new(true);
             let (sender, mut events) = mpsc::channel(64);
             for (table, wait) in [("orders", 5_000), ("runners", 1_000)] {
@@ -75,10 +75,10 @@
                     table,
                     active: active.subscribe(),
                     revision: Rc::default(),
-                    every: Duration::ZERO,
+                    min_interval: Duration::ZERO,
                     wait: Rc::new(Cell::new(Duration::from_millis(wait))),
-                    pause: PROBE_PAUSE,
-                    returns: returns.clone(),
+                    max_backoff: PROBE_BACKOFF_MAX,
+                    recoveries: recoveries.clone(),
                     metrics: Metrics::default(),
                 };
                 tokio::task::spawn_local(watcher.run(sender.clone()));
@@ -149,7 +149,7 @@
     LocalSet::new()
         .run_until(async {
             let store = Refusing::default();
-            let returns = watch::Sender::new(0);
+            let recoveries = watch::Sender::new(0);
             let active = watch::Sender::new(true);
             let (sender, mut events) = mpsc::channel(64);
             for table in ["orders", "runners", "nodes", "status"] {
@@ -159,10 +159,14 @@
                     table,
                     active: active.subscribe(),
                     revision: Rc::default(),
-                    every: Duration::ZERO,
+                    min_interval: Duration::ZERO,
                     wait: Rc::new(Cell::new(Duration::from_secs(1))),
-                    pause: if table == "orders" { PROBE_PAUSE } else { REST_PAUSE },
-                    returns: returns.clone(),
+                    max_backoff: if table == "orders" {
+                        PROBE_BACKOFF_MAX
+                    } else {
+                        STANDBY_BACKOFF_MAX
+                    },
+                    recoveries: recoveries.clone(),
                     metrics: Metrics::default(),
                 };
                 tokio::task::spawn_local(watcher.run(sender.clone()));
@@ -179,11 +183,11 @@
             let mut up = BTreeSet::new();
             while up.len() < 4 {
                 let FeedEvent { table, change } = events.recv().await.unwrap();
-                if matches!(change, Change::Up) {
+                if matches!(change, Change::Available) {
                     up.insert(table);
                 }
             }
-            assert!(back.elapsed() <= PROBE_PAUSE, "{:?}", back.elapsed());
+            assert!(back.elapsed() <= PROBE_BACKOFF_MAX, "{:?}", back.elapsed());
         })
         .await;
 }
--- a/crates/relay/tests/fleet.rs
+++ b/crates/relay/tests/fleet.rs
@@ -48,7 +48,7 @@
         except: &[],
         prompt,
         memory: MEMORY,
-        away: None,
+        avoid_domain: None,
         version: None,
         stable: false,
     }
@@ -241,7 +241,7 @@
 async fn a_copy_leaves_its_domain_even_for_a_runner_that_was_down() {
     let fleet = Fleet::seeded(7);
     fleet.update(&runners(2)[..4]);
-    let copy = Criteria { away: Some("a"), stable: true, ..criteria(None) };
+    let copy = Criteria { avoid_domain: Some("a"), stable: true, ..criteria(None) };
     for id in ["r2", "r3"] {
         fleet.record_failure(find(&fleet, id), Instant::now());
     }
--- a/crates/relay/tests/large_fleet.rs
+++ b/crates/relay/tests/large_fleet.rs
@@ -49,7 +49,7 @@
         except: &[],
         prompt: Some(prompt),
         memory: MEMORY,
-        away: None,
+        avoid_domain: None,
         version: None,
         stable: false,
     }
@@ -106,7 +106,7 @@
         for stream in &mut self.streams {
             if !stream.read && now >= stream.start + PREFILL {
                 stream.read = true;
-                stream.lease.read();
+                stream.lease.mark_prefilled();
                 changed.push(stream.node);
             }
         }
--- a/crates/relay/tests/parts.rs
+++ b/crates/relay/tests/parts.rs
@@ -94,7 +94,7 @@
 
     /// Takes a retry as one of `system` nodes.
     fn take(&mut self, node: usize, system: usize) -> bool {
-        let taken = self.budgets[node].take(SERVICE, system);
+        let taken = self.budgets[node].try_take(SERVICE, system);
         if taken {
             self.log.push((Instant::now(), true));
             let update = self.budgets[node].take_update();
@@ -182,7 +182,7 @@
     assert_eq!(resumed, 2 * GROUP);
     let alone = Budgets::new(ALLOWANCE);
     (0..5).for_each(|_| alone.count_request(SERVICE));
-    let alone = (0..10).filter(|_| alone.take(SERVICE, SYSTEM)).count();
+    let alone = (0..10).filter(|_| alone.try_take(SERVICE, SYSTEM)).count();
     assert!(alone <= 3, "{alone} retries of a node that hears of nobody");
 }
 
--- a/crates/relay/tests/rate_limit.rs
+++ b/crates/relay/tests/rate_limit.rs
@@ -90,7 +90,7 @@
         except: &[],
         prompt: None,
         memory: 0,
-        away: None,
+        avoid_domain: None,
         version: None,
         stable: false,
     }
--- a/crates/relay/tests/registry.rs
+++ b/crates/relay/tests/registry.rs
@@ -104,9 +104,9 @@
     advance(Duration::from_millis(500)).await;
     update(&mut registry, &all[..1], GRACE);
     advance(Duration::from_secs(1)).await;
-    assert!(!registry.settle(Instant::now(), false));
+    assert!(!registry.remove_expired(Instant::now(), false));
     advance(Duration::from_secs(1)).await;
-    assert!(registry.settle(Instant::now(), true));
+    assert!(registry.remove_expired(Instant::now(), true));
     assert_eq!(ids(&registry), ["a"]);
 }
 
@@ -123,12 +123,12 @@
     assert!(!registry.adopt_restarts(&[restart("a2")], false), "repeated");
     assert!(!update(&mut registry, &all[..1], Duration::ZERO), "a late row of the former one");
     advance(Duration::from_secs(5)).await;
-    assert!(!registry.settle(Instant::now(), false), "the outage lasts");
+    assert!(!registry.remove_expired(Instant::now(), false), "the outage lasts");
     update(&mut registry, &[row("a", "")], GRACE);
-    assert!(!registry.settle(Instant::now(), true));
+    assert!(!registry.remove_expired(Instant::now(), true));
     assert_eq!(ids(&registry), ["a2", "b"], "it has time to register");
     advance(Duration::from_secs(3)).await;
-    assert!(registry.settle(Instant::now(), true));
+    assert!(registry.remove_expired(Instant::now(), true));
     assert_eq!(ids(&registry), ["b"]);
 }
 
--- a/crates/relay/tests/rollouts.rs
+++ b/crates/relay/tests/rollouts.rs
@@ -7,7 +7,7 @@
     },
     bilberryfront_relay::{
         rollouts::{
-            Action, Phase, RolloutOrder, RolloutStatus, Rollouts, Trial,
+            Action, Phase, RolloutOrder, RolloutSample, RolloutStatus, Rollouts,
             exposure::{Bound, Exposure},
         },
         view::{Rule, Split},
@@ -70,7 +70,7 @@
         let now = Instant::now();
         let node = |i: u64| {
             let mut rollouts = Rollouts::new(Incarnation(i + 1));
-            rollouts.order(now, 10, order());
+            rollouts.apply_order(now, 10, order());
             Node { rollouts, given: Exposure::default(), cut: false, dead: false }
         };
         World {
@@ -108,12 +108,12 @@
                 continue;
             }
             self.traffic(i, now);
-            self.nodes[i].rollouts.runners("llm", 4);
-            for wish in self.nodes[i].rollouts.tick(now, i, count) {
-                match wish {
-                    Action::Tell(news) if !self.nodes[i].cut => self.news.push((i, news)),
-                    Action::Write { record, expected } if !self.nodes[i].cut => {
-                        self.write(&record, expected);
+            self.nodes[i].rollouts.set_ready_runners("llm", 4);
+            for action in self.nodes[i].rollouts.tick(now, i, count) {
+                match action {
+                    Action::Broadcast(news) if !self.nodes[i].cut => self.news.push((i, news)),
+                    Action::Write { status, expected } if !self.nodes[i].cut => {
+                        self.write(&status, expected);
                     }
                     _ => {}
                 }
@@ -130,7 +130,7 @@
         self.revision += 1;
         self.store = Some((self.revision, record.clone()));
         let reached = self.nodes.iter_mut().filter(|n| !n.cut && !n.dead);
-        reached.for_each(|node| node.rollouts.record(self.revision, record.clone()));
+        reached.for_each(|node| node.rollouts.apply_status(self.revision, record.clone()));
     }
 
     fn traffic(&mut self, i: usize, now: Instant) {
@@ -139,7 +139,7 @@
         }
         let split = self.split(i);
         let choice = self.nodes[i].given.choose(&split, &BOUND, 6, self.rng.random());
-        if split.rule != Rule::New {
+        if split.rule != Rule::OnlyNew {
             self.all += 1;
             self.new += u32::from(choice.new);
         }
@@ -147,7 +147,7 @@
         let bad = now >= self.start + self.failing.from
             && self.failing.route.is_none_or(|only| only == route);
         let fails = if choice.new && bad { self.failing.new } else { self.failing.old };
-        let trial = Trial {
+        let trial = RolloutSample {
             service: "llm".into(),
             route: route.into(),
             choice,
@@ -184,7 +184,7 @@
         let mut world = World::new(seed, GOOD);
         world.run(TIME).await;
         assert_eq!((world.phase(), world.finals), (Some(Phase::Completed), 1), "seed {seed}");
-        assert!(world.rules().iter().all(|r| *r == Rule::New));
+        assert!(world.rules().iter().all(|r| *r == Rule::OnlyNew));
         assert!(world.within_bound(), "{} of {}", world.new, world.all);
     }
 }
@@ -200,7 +200,7 @@
             let mut world = World::new(seed, failing);
             world.run(TIME).await;
             assert_eq!(world.phase(), Some(Phase::RolledBack), "{name}, seed {seed}");
-            assert!(world.rules().iter().all(|r| *r == Rule::Old));
+            assert!(world.rules().iter().all(|r| *r == Rule::OnlyOld));
             assert!(world.within_bound(), "{} of {}", world.new, world.all);
         }
     }
@@ -231,14 +231,14 @@
     assert_eq!((world.phase(), world.finals), (Some(Phase::Completed), 1));
 }
 
-/// The store is away while a version shows bad. Nodes stop giving it requests all the same, and the
+/// The store is avoid_domain while a version shows bad. Nodes stop giving it requests all the same, and the
 /// record follows when the store is back.
 #[tokio::test(start_paused = true)]
 async fn badness_counts_also_without_the_store() {
     let mut world = World::new(2, BAD);
     world.store_down = true;
     world.run(Duration::from_secs(10)).await;
-    assert!(world.rules().iter().all(|r| *r == Rule::Old));
+    assert!(world.rules().iter().all(|r| *r == Rule::OnlyOld));
     assert_eq!(world.phase(), None);
     world.store_down = false;
     world.run(Duration::from_secs(3)).await;
@@ -260,7 +260,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_stores_first_final_word_counts() {
     let mut node = Rollouts::new(Incarnation(9));
-    node.order(Instant::now(), 10, order());
+    node.apply_order(Instant::now(), 10, order());
     let news = PeerNews {
         from: Incarnation(1),
         sequence: 1,
@@ -275,10 +275,10 @@
         evidence: None,
     };
     node.handle_peer_update(Instant::now(), &news);
-    assert_eq!(node.splits()["llm"].rule, Rule::Old);
+    assert_eq!(node.splits()["llm"].rule, Rule::OnlyOld);
     let record = RolloutStatus { service: "llm".into(), to: "v2".into(), phase: Phase::Completed };
-    node.record(12, record);
-    assert_eq!(node.splits()["llm"].rule, Rule::New);
+    node.apply_status(12, record);
+    assert_eq!(node.splits()["llm"].rule, Rule::OnlyNew);
 }
 
 /// A node starts anew after a move was settled: it reads the record, in whichever order, and tries
@@ -287,20 +287,20 @@
 async fn a_restarted_node_follows_the_record() {
     let record = |phase| RolloutStatus { service: "llm".into(), to: "v2".into(), phase };
     for (revision, phase, rule) in [
-        (12, Phase::Completed, Rule::New),
-        (12, Phase::RolledBack, Rule::Old),
-        (12, Phase::Canary, Rule::Trial),
-        (9, Phase::Completed, Rule::Trial),
-        (9, Phase::RolledBack, Rule::Trial),
+        (12, Phase::Completed, Rule::OnlyNew),
+        (12, Phase::RolledBack, Rule::OnlyOld),
+        (12, Phase::Canary, Rule::Canary),
+        (9, Phase::Completed, Rule::Canary),
+        (9, Phase::RolledBack, Rule::Canary),
     ] {
         for first in [true, false] {
             let mut node = Rollouts::new(Incarnation(1));
             if first {
-                node.record(revision, record(phase));
+                node.apply_status(revision, record(phase));
             }
-            node.order(Instant::now(), 10, order());
+            node.apply_order(Instant::now(), 10, order());
             if !first {
-                node.record(revision, record(phase));
+                node.apply_status(revision, record(phase));
             }
             assert_eq!(node.splits()["llm"].rule, rule, "{revision} {phase:?} {first}");
         }
@@ -312,13 +312,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_version_without_runners_is_not_completed() {
     let mut node = Rollouts::new(Incarnation(1));
-    node.order(Instant::now(), 10, order());
+    node.apply_order(Instant::now(), 10, order());
     let mut records = BTreeMap::new();
     let end = Instant::now() + TIME;
     while Instant::now() < end {
-        for wish in node.tick(Instant::now(), 0, 1) {
-            if let Action::Write { record, .. } = wish {
-                records.insert(record.phase as u8, record.phase);
+        for action in node.tick(Instant::now(), 0, 1) {
+            if let Action::Write { status, .. } = action {
+                records.insert(status.phase as u8, status.phase);
             }
         }
         advance(STEP).await;
--- a/crates/relay/tests/table_sync/world.rs
+++ b/crates/relay/tests/table_sync/world.rs
@@ -139,7 +139,7 @@
             };
             if !self.deaf.contains(&to) {
                 let mut out = Vec::new();
-                self.nodes[index].sync.received(now, &from, message, &mut out);
+                self.nodes[index].sync.on_message(now, &from, message, &mut out);
                 self.carry_out(index, out);
             }
         }
@@ -152,7 +152,7 @@
             for table in TableId::ALL {
                 if let Some(change) = self.poll(now, index, table) {
                     for change in change {
-                        self.nodes[index].sync.polled(now, table, change, &mut out);
+                        self.nodes[index].sync.on_poll(now, table, change, &mut out);
                     }
                 }
             }
@@ -184,16 +184,16 @@
         self.store.calls += 1;
         if failing {
             poll.due = now + BACKOFF;
-            return (!std::mem::replace(&mut poll.down, true)).then(|| vec![Change::Down]);
+            return (!std::mem::replace(&mut poll.down, true)).then(|| vec![Change::Unavailable]);
         }
         poll.due = now + WAIT;
         let mut changes = Vec::new();
         if std::mem::take(&mut poll.down) {
-            changes.push(Change::Up);
+            changes.push(Change::Available);
         }
         let rows = self.store.rows(table, poll.revision);
         let whole = poll.revision.replace(rows.revision).is_none();
-        changes.push(if whole { Change::Whole(rows) } else { Change::Rows(rows) });
+        changes.push(if whole { Change::Snapshot(rows) } else { Change::Rows(rows) });
         Some(changes)
     }
 
--- a/tests/relay/faces.rs
+++ b/tests/relay/faces.rs
@@ -47,7 +47,7 @@
     async fn connect(&self, purpose: Purpose) -> Caller {
         let (near, far) = tokio::io::duplex(WINDOW);
         let serving =
-            server::connection(far, purpose, self.handler.clone(), self.close.subscribe());
+            server::serve_connection(far, purpose, self.handler.clone(), self.close.subscribe());
         tokio::task::spawn_local(serving);
         let (sender, connection) = http1::handshake(TokioIo::new(near)).await.unwrap();
         tokio::task::spawn_local(async move {
--- a/tests/relay/limits.rs
+++ b/tests/relay/limits.rs
@@ -126,7 +126,7 @@
         world.serve("/look/1", &[]).await;
         sleep(ms(100)).await;
         world.serve("/look/1", &[]).await;
-        let text = world.traffic.metrics.text(0);
+        let text = world.traffic.metrics.encode(0);
         for send in ["First", "Repeat"] {
             let line = format!("limited_sends_total{{send=\"{send}\"}} 1");
             assert!(text.contains(&line), "{line} is not in {text}");
--- a/tests/relay/support.rs
+++ b/tests/relay/support.rs
@@ -489,7 +489,7 @@
             except: &[],
             prompt: Some(prompt),
             memory: 55_000,
-            away: None,
+            avoid_domain: None,
             version: None,
             stable: false,
         };
