--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -1,9 +1,9 @@
 //! Retry budgets.
 //!
-//! The bound is global: in any window, retries stay below a ratio of the requests plus a fixed slack.
-//! A node may use the ratio of the requests and an equal share of the slack of itself and of the peers
-//! that report to it. With few requests each, nodes could otherwise not retry what a failure domain's
-//! crash makes them retry at once.
+//! The bound is global: in any window, retries stay below a ratio of the requests plus a fixed
+//! slack. A node counts the requests and retries of itself and of the peers that report to it
+//! against the ratio and against their joint share of the slack. Nodes with few requests could
+//! otherwise not retry all requests that fail at once when a failure domain crashes.
 
 use {
     bilberryfront_decide::member::message::BudgetUse,
@@ -13,16 +13,16 @@
     tokio::time::Instant,
 };
 
-/// Share of the budget in use; the rest covers retries that arrive in a later window, nodes that have
-/// just joined, and retries that peers have not reported yet.
+/// Share of the budget that is used; the rest covers retries that arrive in a later window, nodes
+/// that have just joined, and retries that peers have not reported yet.
 const MARGIN: f64 = 0.7;
-/// Age at which a peer's report expires; peers repeat theirs every second. A node that is cut off
-/// falls back to its own part.
+/// Age at which a peer's report expires; peers repeat theirs every second. A node without
+/// connection to its peers then uses its own share only.
 const PEER_REPORT_TTL: Duration = Duration::from_millis(1_500);
-/// Buckets per window.
+/// Number of buckets per window.
 const BUCKETS: u32 = 20;
 
-/// Global bound.
+/// Global bound on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     /// Retries per request.
@@ -33,7 +33,7 @@
     pub window: Duration,
 }
 
-/// Retry budgets of all services. Clones share them.
+/// Retry budgets of all services. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct Budgets {
     allowance: Allowance,
@@ -57,7 +57,7 @@
     retries: u32,
 }
 
-/// What a peer reported, and when.
+/// Latest report of a peer.
 #[derive(Clone, Copy, Debug)]
 struct PeerUse {
     at: Instant,
@@ -66,7 +66,7 @@
 }
 
 impl Budgets {
-    /// Unused budgets.
+    /// Creates budgets without any use.
     pub fn new(allowance: Allowance) -> Budgets {
         Budgets { allowance, services: Rc::default() }
     }
@@ -76,22 +76,22 @@
         self.with(service, |budget| budget.count_request(Instant::now()));
     }
 
-    /// Takes one retry as one of `nodes` nodes; false if the budget is exhausted.
+    /// Takes one retry, as one of `nodes` nodes; returns false if the budget is exhausted.
     pub fn try_take(&self, service: &str, nodes: usize) -> bool {
         self.with(service, |budget| budget.try_take(Instant::now(), nodes))
     }
 
-    /// Use of all budgets, for peers.
+    /// Returns the use of all budgets with requests or retries in the window, for peers.
     pub fn snapshot(&self) -> Vec<BudgetUse> {
         self.report(|budget| budget.has_requests(Instant::now()))
     }
 
-    /// Use of the budgets from which retries were taken since the last call.
+    /// Returns the use of the budgets from which retries were taken since the last call, for peers.
     pub fn take_update(&self) -> Vec<BudgetUse> {
         self.report(|budget| std::mem::take(&mut budget.dirty))
     }
 
-    /// Applies a peer's report.
+    /// Applies a report from a peer.
     pub fn apply(&self, from: &CompactString, budgets: &[BudgetUse]) {
         for used in budgets {
             self.with(&used.service, |budget| budget.apply(Instant::now(), from, used));
@@ -117,7 +117,7 @@
 }
 
 impl Budget {
-    /// An unused budget.
+    /// Creates a budget without any use.
     pub fn new(allowance: Allowance) -> Budget {
         Budget { allowance, buckets: VecDeque::new(), peers: FxHashMap::default(), dirty: false }
     }
@@ -127,7 +127,7 @@
         self.current_bucket(now).requests += 1;
     }
 
-    /// Takes one retry as one of `nodes` nodes; false if the budget is exhausted.
+    /// Takes one retry, as one of `nodes` nodes; returns false if the budget is exhausted.
     pub fn try_take(&mut self, now: Instant, nodes: usize) -> bool {
         self.peers.retain(|_, peer| now < peer.at + PEER_REPORT_TTL);
         let (own_requests, own_retries) = self.own_use(now);
@@ -143,13 +143,13 @@
         free
     }
 
-    /// Use of this node, for peers.
+    /// Returns this node's use of the budget, for peers.
     pub fn used(&mut self, now: Instant, service: CompactString) -> BudgetUse {
         let (requests, retries) = self.own_use(now);
         BudgetUse { service, requests, retries }
     }
 
-    /// Applies a peer's use.
+    /// Applies a peer's use of the budget.
     pub fn apply(&mut self, now: Instant, from: &CompactString, used: &BudgetUse) {
         let BudgetUse { requests, retries, .. } = *used;
         self.peers.insert(from.clone(), PeerUse { at: now, requests, retries });
@@ -159,7 +159,7 @@
         self.own_use(now) != (0, 0)
     }
 
-    /// Requests and retries of this node within the window.
+    /// Returns the numbers of requests and retries of this node within the window.
     fn own_use(&mut self, now: Instant) -> (u32, u32) {
         self.current_bucket(now);
         let add = |(requests, retries), bucket: &Bucket| {
@@ -168,7 +168,7 @@
         self.buckets.iter().fold((0, 0), add)
     }
 
-    /// The current bucket; drops expired ones.
+    /// Returns the current bucket, after dropping expired ones.
     fn current_bucket(&mut self, now: Instant) -> &mut Bucket {
         let window = self.allowance.window;
         while self.buckets.front().is_some_and(|p| now >= p.start + window) {
--- a/crates/relay/src/control/tables.rs
+++ b/crates/relay/src/control/tables.rs
@@ -50,7 +50,7 @@
         match change {
             Change::Snapshot(rows) => membership.apply_registrations(rows, true),
             Change::Rows(rows) if !rows.rows.is_empty() => {
-                membership.apply_registrations(rows, false)
+                membership.apply_registrations(rows, false);
             }
             _ => {}
         }
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The runners as the traffic thread sees them: registrations, load and health.
+//! Runners as known to the traffic thread: registrations, load and health.
 
 mod choose;
 mod drain;
@@ -32,15 +32,15 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Minimum time between two identity checks of the same unlisted runner.
+/// Minimum interval of identity checks of an unlisted runner.
 const IDENTITY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 new_key_type! {
-    /// A runner in one incarnation.
+    /// Key of one incarnation of a runner.
     pub struct RunnerKey;
 }
 
-/// All runners. Clones share state.
+/// All runners. Clones share their state.
 #[derive(Clone)]
 pub struct Fleet {
     inner: Rc<RefCell<Inner>>,
@@ -51,24 +51,24 @@
 
 #[derive(Default)]
 struct Inner {
-    /// Whether a registration list was ever applied.
+    /// Whether a list of registrations has been applied.
     loaded: bool,
     runners: SlotMap<RunnerKey, Runner>,
     by_id: FxHashMap<CompactString, RunnerKey>,
     services: FxHashMap<CompactString, Vec<RunnerKey>>,
     /// Ids of runners that failed since the last update to peers.
     failures: Vec<CompactString>,
-    /// Restarted runners found since the last update to peers.
+    /// Restarts detected since the last update to peers.
     restarts: Vec<Restart>,
-    /// This node's failure domain; empty until it is set.
+    /// Failure domain of this node; empty until it is set.
     domain: CompactString,
-    /// This node's name; empty until it is set.
+    /// Name of this node; empty until it is set.
     me: CompactString,
     /// Nodes that share the runners' rate limits.
     nodes: Arc<Vec<NodeAddress>>,
-    /// Which loads peers report.
+    /// Runners whose load peers report to this node.
     scope: Scope,
-    /// Unlisted runners seen at known addresses, with the time of the last identity check.
+    /// Unlisted runners found at known addresses, with the time of the last identity check.
     identity_checks: FxHashMap<CompactString, Instant>,
 }
 
@@ -78,26 +78,26 @@
     address_hash: u64,
     pool: Pool,
     health: Health,
-    /// Load of this node's streams.
+    /// Load of this node's requests on an engine.
     own_load: Load,
-    /// Calls of this node in flight, for plain services.
+    /// Number of this node's calls in flight, for a plain service.
     calls: u32,
     /// Load reported by peers.
     peer_loads: PeerLoads,
-    /// Whether `own` changed since the last update to peers.
+    /// Whether `own_load` has changed since the last update to peers.
     dirty: bool,
-    /// Its rate limit for all nodes together.
+    /// Rate limit that the runner advertises for all nodes together.
     limit: Option<AdvertisedLimit>,
-    /// Its announcement that it leaves.
+    /// Announcement by the runner that it is draining.
     drain: Option<Announcement>,
-    /// Time until which it wants no request of this node.
+    /// Time until which the runner rejects requests of this node.
     paused_until: Option<Instant>,
 }
 
-/// A runner's address and identity.
+/// Address and identity of a runner.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Arena key.
+    /// Key in the fleet.
     pub key: RunnerKey,
     /// Runner id.
     pub id: CompactString,
@@ -114,7 +114,7 @@
 }
 
 impl Fleet {
-    /// An empty fleet with seeded tie-breaking.
+    /// Creates an empty fleet whose random tie-breaking uses this seed.
     pub fn seeded(seed: u64) -> Fleet {
         let random = Rc::new(RefCell::new(SmallRng::seed_from_u64(seed)));
         Fleet { inner: Rc::default(), changed: Rc::default(), lost: Rc::default(), random }
@@ -125,20 +125,20 @@
         self.inner.borrow_mut().domain.clone_from(domain);
     }
 
-    /// Sets which loads peers report.
+    /// Sets the runners whose load peers report to this node.
     pub fn set_scope(&self, scope: Scope) {
         self.inner.borrow_mut().scope = scope;
     }
 
-    /// Applies the latest registrations. Idle connections of removed or restarted runners are
-    /// closed; requests in flight continue.
+    /// Replaces the registrations. Idle connections to removed or restarted runners are closed;
+    /// requests in flight continue.
     pub fn update(&self, registrations: &[Registration]) {
         let inner = &mut *self.inner.borrow_mut();
         inner.loaded = true;
         let listed: FxHashSet<&str> = registrations.iter().map(|r| r.id.as_str()).collect();
-        let gone: Vec<CompactString> =
+        let removed: Vec<CompactString> =
             inner.by_id.keys().filter(|id| !listed.contains(id.as_str())).cloned().collect();
-        for id in gone {
+        for id in removed {
             inner.by_id.remove(&id).map(|key| inner.runners.remove(key));
         }
         for registration in registrations {
@@ -152,12 +152,12 @@
         inner.divide_limits(Instant::now());
     }
 
-    /// Whether a registration list was ever applied.
+    /// Returns whether a list of registrations has been applied.
     pub fn is_loaded(&self) -> bool {
         self.inner.borrow().loaded
     }
 
-    /// Whether a failure domain differs from this node's.
+    /// Returns whether a failure domain differs from this node's.
     pub fn is_remote(&self, domain: &CompactString) -> bool {
         self.inner.borrow().domain != *domain
     }
@@ -167,7 +167,7 @@
         self.inner.borrow_mut().runners.get_mut(key)?.pool.take(now)
     }
 
-    /// Returns a connection to the runner's pool.
+    /// Puts a connection back into the runner's pool; `limit` is the runner's idle timeout.
     pub fn return_connection(
         &self,
         key: RunnerKey,
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The runner that currently owns this endpoint's address, in any incarnation.
+    /// Returns the runner that is registered at this endpoint's address, in any incarnation.
     pub fn find_by_address(&self, endpoint: &Endpoint) -> Option<Endpoint> {
         let inner = self.inner.borrow();
         if inner.runners.contains_key(endpoint.key) {
@@ -197,15 +197,16 @@
         inner.runners.iter().find(here).map(|(key, _)| inner.endpoint(key))
     }
 
-    /// Whether the runner accepts requests and has not failed since its last response. Unlike
-    /// [`Fleet::is_ejected`], this ignores cool-downs and failures of its neighbours.
+    /// Returns whether the runner accepts requests and has not failed since its last response.
+    /// Unlike [`Fleet::is_ejected`], this ignores cool-downs and failures of other runners in its
+    /// failure domain.
     pub fn is_available(&self, key: RunnerKey) -> bool {
         let inner = self.inner.borrow();
         let is_available = |r: &Runner| r.is_ready() && !r.health.has_failed();
         inner.runners.get(key).is_some_and(is_available)
     }
 
-    /// Whether the runner is gone, restarted, or failed with no success since.
+    /// Returns whether the runner was removed, restarted, or has failed since its last response.
     pub fn is_lost(&self, key: RunnerKey) -> bool {
         self.inner.borrow().runners.get(key).is_none_or(|r| r.health.has_failed())
     }
@@ -217,12 +218,12 @@
         }
     }
 
-    /// Time of the runner's last response to this node.
+    /// Returns the time of the runner's last response to this node.
     pub fn last_seen(&self, key: RunnerKey) -> Option<Instant> {
         self.inner.borrow().runners.get(key)?.health.last_seen()
     }
 
-    /// Records a connection error or a timeout.
+    /// Records a connection error or a timeout, which is reported to peers.
     pub fn record_failure(&self, key: RunnerKey, now: Instant) {
         self.inner.borrow_mut().record_failure(key, now);
         self.changed.notify_one();
@@ -230,8 +231,8 @@
     }
 
     /// Records that another runner, or another incarnation, responded at the runner's address. This
-    /// is not reported to peers and makes no other runner suspect: after an outage of a domain it
-    /// shows that the domain is back.
+    /// is not reported to peers and makes no other runner suspect: after an outage of a failure
+    /// domain it shows that the domain is available again.
     pub fn record_replacement(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
             runner.health.record_failure(now);
@@ -240,7 +241,7 @@
         self.lost.notify_waiters();
     }
 
-    /// Resolves once a runner counts as lost.
+    /// Waits until the runner is lost; see [`Fleet::is_lost`].
     pub async fn until_lost(&self, key: RunnerKey) {
         loop {
             let changed = self.lost.notified();
@@ -251,14 +252,15 @@
         }
     }
 
-    /// Whether an id is unlisted and not checked recently; marks it as checked.
+    /// Returns whether the identity of a runner has to be checked, because it is unlisted and was
+    /// not checked recently; records the check.
     pub fn begin_identity_check(&self, id: &CompactString, now: Instant) -> bool {
         let inner = &mut *self.inner.borrow_mut();
         inner.identity_checks.retain(|_, checked_at| now < *checked_at + IDENTITY_CHECK_INTERVAL);
         !inner.by_id.contains_key(id) && inner.identity_checks.insert(id.clone(), now).is_none()
     }
 
-    /// Records that another incarnation responds at a runner's address.
+    /// Records a restart found by an identity check, for peers.
     pub fn record_restart(&self, restart: Restart) {
         self.inner.borrow_mut().restarts.push(restart);
         self.changed.notify_one();
@@ -271,12 +273,12 @@
         }
     }
 
-    /// The service of a listed runner.
+    /// Returns the service of a listed runner.
     pub fn service(&self, key: RunnerKey) -> Option<CompactString> {
         Some(self.inner.borrow().runners.get(key)?.registration.service.clone())
     }
 
-    /// Number of runners of a service that accept requests of this node now.
+    /// Returns the number of runners of a service to which this node may send a request now.
     pub fn ready_count(&self, service: &str) -> usize {
         let now = Instant::now();
         let inner = self.inner.borrow();
@@ -325,9 +327,9 @@
         self.suspect_neighbours(key, now);
     }
 
-    /// Marks a whole failure domain as suspect once several of its runners have failed, since
-    /// domains mostly fail as a unit. Any response from a runner clears its mark. A draining runner
-    /// is expected to exit, which says nothing about the others.
+    /// Marks all runners of a failure domain as suspect once several of them have failed, since
+    /// domains mostly fail as a unit. A response from a runner clears its mark. Draining runners
+    /// are not counted: their exit is expected and does not indicate a failure of the domain.
     fn suspect_neighbours(&mut self, key: RunnerKey, now: Instant) {
         let Registration { service, domain, .. } = &self.runners[key].registration;
         let all = self.services.get(service).into_iter().flatten().copied();
--- a/crates/relay/src/fleet/choose.rs
+++ b/crates/relay/src/fleet/choose.rs
@@ -1,4 +1,4 @@
-//! Runner selection.
+//! Selection of runners by score; the lowest score is selected.
 
 use {
     super::{Endpoint, Fleet, Inner, Load, RunnerKey},
@@ -11,29 +11,33 @@
 
 /// Score of one token of KV memory, relative to one token of unread prompt.
 const MEMORY_WEIGHT: f64 = 0.02;
-/// Share of a runner's memory below which memory pressure is not scored.
+/// Share of an engine's memory above which [`MEMORY_PRESSURE_WEIGHT`] is added.
 const MEMORY_PRESSURE_SHARE: f64 = 0.6;
-/// Score of one token of memory above that share, where runs get preempted.
+/// Additional score of one token of memory above [`MEMORY_PRESSURE_SHARE`], where runs may be
+/// preempted.
 const MEMORY_PRESSURE_WEIGHT: f64 = 1.0;
-/// Score of one running stream, in prompt tokens: prefill slows every stream of its runner.
+/// Score of one running stream, in prompt tokens. Prefilling a prompt slows down every stream on
+/// the same runner.
 const RUNNING_WEIGHT: f64 = 2_000.0;
-/// Number of preferred runners of a prompt, by rendezvous hashing. A resumed stream looks for its
-/// cached prompt on these only.
+/// Number of preferred runners of a prompt, by rendezvous hashing. The cached prompt of a resumed
+/// stream is looked up on these only.
 const PREFERRED_COUNT: usize = 24;
-/// Score bonus of a preferred runner, in prompt tokens.
+/// Amount subtracted from the score of a preferred runner, in prompt tokens.
 const PREFERRED_BONUS: f64 = 4_000.0;
-/// Score of an engine in another failure domain, in running streams.
+/// Score of an engine in another failure domain, expressed in running streams.
 const REMOTE_STREAMS: f64 = 0.75;
-/// Share of a plain runner's slots that is used before calls leave this node's failure domain.
+/// Share of a plain runner's slots that is used before calls are sent to another failure domain.
 const REMOTE_SLOTS_SHARE: f64 = 0.5;
-/// Score of an ejected runner; exceeds any load.
+/// Score of an ejected runner; exceeds the score of any load.
 const EJECTED_SCORE: f64 = 1e9;
-/// Share of [`EJECTED_SCORE`] for an unstable runner where a stable one is requested.
+/// Share of [`EJECTED_SCORE`] for an unstable runner if a stable one is requested.
 const UNSTABLE_SHARE: f64 = 0.5;
-/// Share of [`EJECTED_SCORE`] for a runner in the avoided failure domain. Exceeds [`UNSTABLE_SHARE`], so that a
-/// replica leaves its run's domain even when the other domains have just recovered.
+/// Share of [`EJECTED_SCORE`] for a runner in the avoided failure domain. Exceeds
+/// [`UNSTABLE_SHARE`], so that a replica is placed outside its run's domain even if the runners of
+/// all other domains are unstable.
 const SAME_DOMAIN_SHARE: f64 = 0.75;
-/// Random part of a score, in prompt tokens; breaks ties differently on each node.
+/// Range of the random part of a score, in prompt tokens, which breaks ties differently on each
+/// node.
 const SCORE_JITTER: f64 = 100.0;
 
 /// Requirements of a request.
@@ -45,13 +49,13 @@
     pub except: &'a [RunnerKey],
     /// Hash of the prompt, for cache affinity.
     pub prompt: Option<u64>,
-    /// KV memory of an engine of the service in tokens; 0 for plain services.
+    /// KV memory of an engine of the service, in tokens; 0 for a plain service.
     pub memory: u32,
     /// Failure domain to avoid.
     pub avoid_domain: Option<&'a str>,
     /// Version constraint.
     pub version: Option<Version<'a>>,
-    /// Whether recently failed runners should be avoided.
+    /// Whether to avoid runners that failed recently.
     pub stable: bool,
 }
 
@@ -74,13 +78,13 @@
 }
 
 impl Fleet {
-    /// The best runner by score, if any is eligible.
+    /// Returns the eligible runner with the lowest score.
     pub fn choose(&self, criteria: &Criteria<'_>) -> Option<Endpoint> {
         let inner = self.inner.borrow();
         let now = Instant::now();
         let mut random = self.random.borrow_mut();
         let keys = inner.services.get(criteria.service)?.iter().copied();
-        let open = keys.filter(|k| inner.is_eligible(*k, criteria, now));
+        let eligible = keys.filter(|k| inner.is_eligible(*k, criteria, now));
         let preferred = inner.preferred(criteria);
         let mean = inner.mean_load(criteria, now);
         let mut score = |k| {
@@ -88,20 +92,20 @@
             let bonus = if is_preferred { PREFERRED_BONUS } else { 0.0 };
             inner.score(k, criteria, mean, now) - bonus + random.random_range(0.0..SCORE_JITTER)
         };
-        let scored = open.map(|k| (k, score(k)));
+        let scored = eligible.map(|k| (k, score(k)));
         let (key, _) = scored.min_by(|(_, a), (_, b)| a.total_cmp(b))?;
         Some(inner.endpoint(key))
     }
 
-    /// Preferred runners of a prompt that are eligible and not ejected.
+    /// Returns the preferred runners of the prompt that are eligible and not ejected.
     pub fn preferred(&self, criteria: &Criteria<'_>) -> Vec<Endpoint> {
         let inner = self.inner.borrow();
         let now = Instant::now();
         let preferred = inner.preferred(criteria).into_iter();
-        let sound = preferred.filter(|k| {
+        let eligible = preferred.filter(|k| {
             inner.is_eligible(*k, criteria, now) && !inner.runners[*k].health.is_ejected(now)
         });
-        sound.map(|key| inner.endpoint(key)).collect()
+        eligible.map(|key| inner.endpoint(key)).collect()
     }
 
     /// Looks up a runner by id.
@@ -110,7 +114,7 @@
         inner.by_id.get(id).map(|key| inner.endpoint(*key))
     }
 
-    /// Whether a runner is ejected or gone.
+    /// Returns whether a runner is ejected or was removed.
     pub fn is_ejected(&self, key: RunnerKey) -> bool {
         let now = Instant::now();
         self.inner.borrow().runners.get(key).is_none_or(|r| r.health.is_ejected(now))
@@ -118,7 +122,8 @@
 }
 
 impl Inner {
-    /// Preferred runners of a prompt. Depends only on the registrations, so all nodes agree.
+    /// Returns the preferred runners of the prompt. They depend only on the registrations, so all
+    /// nodes select the same ones.
     fn preferred(&self, criteria: &Criteria<'_>) -> Vec<RunnerKey> {
         let Some(prompt) = criteria.prompt else { return Vec::new() };
         let keys = self.services.get(criteria.service).into_iter().flatten();
@@ -141,28 +146,28 @@
 
     fn score(&self, key: RunnerKey, criteria: &Criteria<'_>, mean: f64, now: Instant) -> f64 {
         let runner = &self.runners[key];
-        let near = criteria.avoid_domain == Some(runner.registration.domain.as_str());
+        let is_avoided = criteria.avoid_domain == Some(runner.registration.domain.as_str());
         let health = match runner.health {
             health if health.is_ejected(now) => 1.0,
             health if criteria.stable && health.is_unstable(now) => UNSTABLE_SHARE,
             _ => 0.0,
         };
-        let near = if near { SAME_DOMAIN_SHARE } else { 0.0 };
+        let avoided = if is_avoided { SAME_DOMAIN_SHARE } else { 0.0 };
         let calls = f64::from(runner.calls) * RUNNING_WEIGHT;
         let load = runner.load(now).weight(criteria.memory) + calls;
         let unreported = if self.is_reported(key) { 0.0 } else { mean };
-        load + unreported + self.distance(key, criteria) + EJECTED_SCORE * (health + near)
+        load + unreported + self.distance(key, criteria) + EJECTED_SCORE * (health + avoided)
     }
 
-    /// Whether peers report the load of a runner to this node.
+    /// Returns whether peers report the load of a runner to this node.
     fn is_reported(&self, key: RunnerKey) -> bool {
         let registration = &self.runners[key].registration;
         self.scope == Scope::System
             || registration.domain == self.domain && self.scope.includes(&registration.id)
     }
 
-    /// Estimated score of a load that is not reported: the mean over the reported runners. Ejected
-    /// ones are included, as their load has moved to the others.
+    /// Returns the estimated score of a load that is not reported: the mean over all reported
+    /// runners. Ejected ones are included, because their load has moved to the others.
     fn mean_load(&self, criteria: &Criteria<'_>, now: Instant) -> f64 {
         if self.scope == Scope::System || criteria.memory == 0 {
             return 0.0;
@@ -175,7 +180,7 @@
         sum / f64::from(count.max(1))
     }
 
-    /// Score of crossing the failure domain's border.
+    /// Returns the score of a runner in another failure domain; 0 in this node's domain.
     fn distance(&self, key: RunnerKey, criteria: &Criteria<'_>) -> f64 {
         let registration = &self.runners[key].registration;
         if registration.domain == self.domain {
@@ -200,7 +205,7 @@
 }
 
 impl Load {
-    /// Score of the load, in prompt tokens.
+    /// Returns the score of the load, in prompt tokens.
     fn weight(self, capacity: u32) -> f64 {
         let memory = f64::from(self.memory);
         let excess = (memory - f64::from(capacity) * MEMORY_PRESSURE_SHARE).max(0.0);
--- a/crates/relay/src/fleet/drain.rs
+++ b/crates/relay/src/fleet/drain.rs
@@ -1,7 +1,7 @@
-//! Runners that announce in a response that they leave.
+//! Runners that announce in a response that they are draining.
 //!
-//! The announcement is final for an incarnation. It counts beside the registration, which follows later,
-//! and never if the store is unavailable.
+//! An announcement is final for an incarnation. It takes effect before the registration changes,
+//! which happens later, or never while the store is unavailable.
 
 use {
     super::{Fleet, Inner, Runner, RunnerKey},
@@ -11,21 +11,21 @@
     tokio::time::Instant,
 };
 
-/// Age up to which an announcement is repeated to peers, for those that missed the first report.
+/// Time for which an announcement is repeated to peers, for those that missed the first report.
 const REPEAT_PERIOD: Duration = Duration::from_secs(2);
 
-/// An announcement received by this node or a peer.
+/// Announcement received by this node or by a peer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Announcement {
     at: Instant,
-    /// Whether this node received it from the runner.
+    /// Whether this node received it from the runner itself.
     own: bool,
-    /// Whether peers have to be informed.
+    /// Whether it still has to be reported to peers.
     dirty: bool,
 }
 
 impl Fleet {
-    /// Records that a runner has announced that it leaves.
+    /// Records that a runner has announced that it is draining.
     pub fn set_draining(&self, key: RunnerKey) {
         let announced = self.inner.borrow_mut().announce_drain(key, true);
         if announced {
@@ -33,17 +33,17 @@
         }
     }
 
-    /// Whether a runner has announced that it leaves.
+    /// Returns whether a runner has announced that it is draining.
     pub fn is_draining(&self, key: RunnerKey) -> bool {
         self.inner.borrow().runners.get(key).is_some_and(|runner| runner.drain.is_some())
     }
 
-    /// Announcements that peers do not have yet.
+    /// Returns the announcements that were not reported to peers yet, and marks them as reported.
     pub(super) fn take_drain_notices(&self) -> Vec<DrainNotice> {
         self.drain_notices(|drain| std::mem::take(&mut drain.dirty))
     }
 
-    /// Announcements that peers may have missed.
+    /// Returns the announcements that peers may have missed.
     pub(super) fn recent_drain_notices(&self) -> Vec<DrainNotice> {
         let now = Instant::now();
         self.drain_notices(|drain| drain.own && now < drain.at + REPEAT_PERIOD)
@@ -60,7 +60,7 @@
 }
 
 impl Inner {
-    /// Returns whether the announcement is new.
+    /// Records an announcement; returns whether it is new.
     fn announce_drain(&mut self, key: RunnerKey, own: bool) -> bool {
         let now = Instant::now();
         let Some(runner) = self.runners.get_mut(key) else { return false };
@@ -83,7 +83,8 @@
 }
 
 impl Runner {
-    /// Whether it accepts new requests, by its registration and its own announcements.
+    /// Returns whether the runner accepts new requests according to its registration and its
+    /// announcements.
     pub(super) fn is_ready(&self) -> bool {
         self.registration.state == State::Ready && self.drain.is_none()
     }
--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -1,19 +1,20 @@
-//! Runner health: passive outlier ejection.
+//! Health of runners: passive outlier ejection.
 
 use {std::time::Duration, tokio::time::Instant};
 
-/// Minimum failures within one failure domain, inside [`FAILURE_WINDOW`], that make all its runners
-/// suspect.
+/// Minimum number of failed runners in one failure domain, within [`FAILURE_WINDOW`], that makes
+/// all its runners suspect.
 const DOMAIN_FAILURES: usize = 2;
-/// The same as a share of the domain's runners: in a large domain some fail at any time.
+/// The same as a share of the domain's runners, since in a large domain single failures are
+/// frequent.
 const DOMAIN_SHARE: f64 = 0.05;
-/// Window in which failures are correlated.
+/// Window in which failures count as correlated.
 const FAILURE_WINDOW: Duration = Duration::from_millis(800);
-/// Age up to which an own response outweighs a peer's failure report.
+/// Age up to which a response to this node overrides a failure reported by a peer.
 const RECENT: Duration = Duration::from_millis(200);
-/// Cool-down after the first failure; doubles with each further one.
+/// Cool-down after the first failure; it doubles with each further one.
 const COOLDOWN_MIN: Duration = Duration::from_millis(800);
-/// Longest cool-down.
+/// Maximum cool-down.
 const COOLDOWN_MAX: Duration = Duration::from_secs(4);
 /// Cool-down of a suspect runner.
 const SUSPECT_COOLDOWN: Duration = Duration::from_millis(1_200);
@@ -22,7 +23,7 @@
 /// Cool-down after a rejection for lack of capacity.
 const OVERLOAD_COOLDOWN: Duration = Duration::from_millis(300);
 
-/// Whether so many failures make a domain with this number of runners suspect.
+/// Returns whether a domain with this number of runners is suspect after so many failures.
 pub(super) fn is_domain_suspect(failures: usize, runners: usize) -> bool {
     failures >= DOMAIN_FAILURES && failures as f64 >= runners as f64 * DOMAIN_SHARE
 }
@@ -37,58 +38,59 @@
 }
 
 impl Health {
-    /// The runner responded.
+    /// Records a response, which clears all failures.
     pub fn record_response(&mut self, now: Instant) {
         *self = Health { last_seen: Some(now), ..Health::default() };
     }
 
-    /// Time of the last response.
+    /// Returns the time of the last response.
     pub fn last_seen(&self) -> Option<Instant> {
         self.last_seen
     }
 
-    /// The runner failed.
+    /// Records a failure and starts a cool-down.
     pub fn record_failure(&mut self, now: Instant) {
         self.cooldown = (self.cooldown * 2).clamp(COOLDOWN_MIN, COOLDOWN_MAX);
         self.failed_at = Some(now);
         self.eject_until(now + self.cooldown);
     }
 
-    /// The runner had no capacity.
+    /// Records a rejection for lack of capacity.
     pub fn record_overload(&mut self, now: Instant) {
         self.eject_until(now + OVERLOAD_COOLDOWN);
     }
 
-    /// A peer reported a failure; ignored after a recent response.
+    /// Records a failure reported by a peer, unless the runner has responded to this node recently.
     pub fn record_peer_failure(&mut self, now: Instant) {
         if self.last_seen.is_none_or(|last_seen| now >= last_seen + RECENT) {
             self.record_failure(now);
         }
     }
 
-    /// Other runners of the failure domain failed; ignored after a recent response.
+    /// Records correlated failures in the runner's domain, unless the runner has responded
+    /// recently.
     pub fn mark_suspect(&mut self, now: Instant) {
         if self.last_seen.is_none_or(|last_seen| now >= last_seen + RECENT) {
             self.eject_until(now + SUSPECT_COOLDOWN);
         }
     }
 
-    /// Whether it failed and has not responded since.
+    /// Returns whether the runner has failed and not responded since.
     pub fn has_failed(&self) -> bool {
         self.failed_at.is_some()
     }
 
-    /// Whether it failed within [`FAILURE_WINDOW`].
+    /// Returns whether the runner has failed within [`FAILURE_WINDOW`].
     pub fn has_failed_recently(&self, now: Instant) -> bool {
         self.failed_at.is_some_and(|at| now < at + FAILURE_WINDOW)
     }
 
-    /// Whether it is in a cool-down.
+    /// Returns whether the runner is in a cool-down.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is in a cool-down or shortly after one.
+    /// Returns whether the runner is in a cool-down or has ended one within [`UNSTABLE_PERIOD`].
     pub fn is_unstable(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until + UNSTABLE_PERIOD)
     }
--- a/crates/relay/src/fleet/lease.rs
+++ b/crates/relay/src/fleet/lease.rs
@@ -1,11 +1,11 @@
-//! Leases of runners.
+//! Leases of capacity on runners.
 
 use {
     super::{Endpoint, Fleet, Load, RunnerKey},
     tokio::time::Instant,
 };
 
-/// A request's share of a runner; released on drop.
+/// Capacity of a runner reserved for a request or a replica; released on drop.
 pub struct Lease {
     fleet: Fleet,
     /// The runner.
@@ -23,14 +23,15 @@
 }
 
 impl Fleet {
-    /// Leases part of an engine; the change goes into the next update to peers.
+    /// Leases capacity of an engine; the change is part of the next update to peers.
     pub fn lease(&self, endpoint: Endpoint, load: Load) -> Lease {
         self.update_own_load(endpoint.key, |own| *own += load);
         Lease { fleet: self.clone(), endpoint, claim: Claim::Load(load) }
     }
 
-    /// Leases a slot of a plain runner for one call. Calls are not reported to peers: most end
-    /// before the report would arrive, and a full runner rejects the next one itself.
+    /// Leases a slot of a plain runner for one call. Calls are not reported to peers: most of them
+    /// end before the report would arrive, and a runner without free slots rejects the next call
+    /// itself.
     pub fn lease_call(&self, endpoint: Endpoint) -> Lease {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(endpoint.key) {
             runner.calls += 1;
@@ -51,7 +52,7 @@
         self.fleet.record_response(self.endpoint.key, Instant::now());
     }
 
-    /// Marks the prompt as prefilled after the first output.
+    /// Marks the prompt as prefilled, after the first event.
     pub fn mark_prefilled(&mut self) {
         if let Claim::Load(load) = &mut self.claim {
             let read = Load { unread: std::mem::take(&mut load.unread), ..Load::default() };
--- a/crates/relay/src/fleet/load.rs
+++ b/crates/relay/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! Load accounting per runner, own and reported by peers.
+//! Load of each runner, by this node and as reported by peers.
 
 use {
     super::{Fleet, Runner},
@@ -12,17 +12,17 @@
     tokio::{sync::Notify, time::Instant},
 };
 
-/// Age at which a peer's report expires; peers refresh theirs every second.
+/// Age at which a peer's report expires; peers repeat theirs every second.
 const REPORT_TTL: Duration = Duration::from_millis(2_500);
 
-/// Load on an engine.
+/// Load of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Running requests.
+    /// Number of running requests.
     pub running: u32,
-    /// KV memory reserved by them and by replicas, in tokens.
+    /// KV memory reserved by these requests and by replicas, in tokens.
     pub memory: u32,
-    /// Prompt tokens not yet prefilled.
+    /// Number of prompt tokens that are not prefilled yet.
     pub unread: u32,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Latest report of each peer about one runner.
+/// Latest report of each peer on one runner.
 #[derive(Debug, Default)]
 pub(super) struct PeerLoads {
     reports: Vec<PeerLoad>,
@@ -73,7 +73,7 @@
 }
 
 impl Runner {
-    /// Total load of all nodes.
+    /// Returns the load by all nodes together.
     pub(super) fn load(&self, now: Instant) -> Load {
         let mut sum = self.peer_loads.sum(now);
         sum += self.own_load;
@@ -87,12 +87,12 @@
 }
 
 impl Fleet {
-    /// Signals changes of this node's load.
+    /// Returns a handle that is notified when [`Fleet::take_update`] has something to report.
     pub fn changes(&self) -> Rc<Notify> {
         self.changed.clone()
     }
 
-    /// Changes since the last call, for peers.
+    /// Takes the changes since the last call, for peers.
     pub fn take_update(&self) -> message::Load {
         let (limits, draining) = (self.take_limits(), self.take_drain_notices());
         let mut inner = self.inner.borrow_mut();
@@ -113,7 +113,8 @@
         }
     }
 
-    /// This node's load on every runner in use, and what runners have advertised recently.
+    /// Returns this node's load on all runners in use, and recent rate limits and drain
+    /// announcements.
     pub fn snapshot(&self) -> message::Load {
         let (limits, draining) = (self.recent_limits(), self.recent_drain_notices());
         let inner = self.inner.borrow();
@@ -122,7 +123,7 @@
         message::Load { runners, limits, draining, ..message::Load::default() }
     }
 
-    /// Applies a peer's report.
+    /// Applies an update from a peer.
     pub fn apply_peer_load(&self, from: &CompactString, update: &message::Load) {
         let inner = &mut *self.inner.borrow_mut();
         let now = Instant::now();
--- a/crates/relay/src/fleet/pause.rs
+++ b/crates/relay/src/fleet/pause.rs
@@ -1,4 +1,4 @@
-//! Runners that reject this node's requests for a stated time.
+//! Runners that have rejected requests of this node with a `Retry-After`.
 
 use {
     super::{Fleet, Runner, RunnerKey},
@@ -7,7 +7,7 @@
 };
 
 impl Fleet {
-    /// Records that a runner wants no request of this node for some time.
+    /// Records that a runner rejects requests of this node for this time.
     pub fn pause(&self, key: RunnerKey, time: Duration) {
         let end = Instant::now() + time;
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
@@ -15,14 +15,14 @@
         }
     }
 
-    /// End of a runner's pause, if it lasts.
+    /// Returns the end of a runner's pause, unless it has passed.
     pub fn paused_until(&self, key: RunnerKey) -> Option<Instant> {
         let inner = self.inner.borrow();
         inner.runners.get(key)?.paused_until.filter(|end| Instant::now() < *end)
     }
 
-    /// Time until this node may send to any runner of a service, if only pauses and rate limits of
-    /// runners prevent it.
+    /// Returns the time until this node may send to any runner of a service, if only pauses and
+    /// rate limits prevent it now.
     pub fn time_until_ready(&self, service: &str) -> Option<Duration> {
         let now = Instant::now();
         let inner = self.inner.borrow();
@@ -33,13 +33,14 @@
 }
 
 impl Runner {
-    /// Whether it may be sent a request, by its backpressure signals.
+    /// Returns whether this node may send a request to the runner, considering its state, pause and
+    /// rate limit.
     pub(super) fn accepts_requests(&self, now: Instant) -> bool {
         self.is_ready() && self.pause_left(now).is_zero() && self.has_token(now)
     }
 
-    /// Time until its pause and its rate limit allow a request; `None` if this node has no part of the
-    /// limit.
+    /// Returns the time until the runner's pause and rate limit allow a request; `None` if this
+    /// node has no share of the limit.
     fn time_until_ready(&self, now: Instant) -> Option<Duration> {
         Some(self.pause_left(now).max(self.time_until_token(now)?))
     }
--- a/crates/relay/src/fleet/rate_limit.rs
+++ b/crates/relay/src/fleet/rate_limit.rs
@@ -1,9 +1,10 @@
 //! Rate limits advertised by runners.
 //!
-//! A limit is for all nodes together. It is divided among a few owners, nodes near the runner, which
-//! every node derives from the same registrations; the others send nothing. Each owner has a token
-//! bucket for its part. With equal parts for all nodes, the tokens that idle nodes save up would
-//! exceed the limit of a slow runner when they are spent at once.
+//! A limit applies to all nodes together. It is divided among a few owners, which are nodes that
+//! mainly use the runner's failure domain; every node derives them from the same registrations.
+//! Nodes that are not owners send no requests to the runner. Each owner has a token bucket for its
+//! share. If all nodes had equal shares, the tokens accumulated by idle nodes would exceed a low
+//! limit when they are used at the same time.
 
 mod bucket;
 
@@ -21,28 +22,31 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Requests that all nodes together may send at once after a pause, in addition to those of one second.
-/// There are no more owners than that, so that each may send one.
+/// Requests that all nodes together may send at once after an idle period, in addition to those of
+/// one second. This sum also limits the number of owners, so that each of them may send at least
+/// one request.
 const BURST: f64 = 3.0;
-/// Age at which a limit expires that no response confirms; a node then finds out by a request.
+/// Age at which a limit expires if no response confirms it; the next response then shows whether it
+/// still applies.
 const LIMIT_TTL: Duration = Duration::from_secs(10);
-/// Age up to which an own observation is repeated to peers, for those that missed the first report.
+/// Time for which a limit received by this node is repeated to peers, for those that missed the
+/// first report.
 const REPEAT_PERIOD: Duration = Duration::from_secs(2);
-/// Units of a limit in one request per second.
+/// Number of units of a limit per request per second.
 const RATE_SCALE: f64 = 1_000.0;
 
-/// A runner's latest limit, or the end of one.
+/// Latest limit of a runner, or the information that it no longer has one.
 #[derive(Debug)]
 pub(super) struct AdvertisedLimit {
-    /// Thousandths of a request per second; `None` if it ended an earlier limit.
+    /// Limit in thousandths of a request per second; `None` if an earlier limit has ended.
     rate: Option<u32>,
     /// Time of the response that carried it.
     at: Instant,
-    /// Whether this node received that response.
+    /// Whether this node received that response itself.
     own: bool,
-    /// Whether peers have to be informed.
+    /// Whether it still has to be reported to peers.
     dirty: bool,
-    /// This node's part.
+    /// Token bucket for this node's share.
     bucket: Bucket,
 }
 
@@ -59,7 +63,7 @@
 }
 
 impl Fleet {
-    /// Sets this node's name and the nodes that share limits.
+    /// Sets the name of this node and the nodes that share the limits.
     pub fn set_nodes(&self, me: &CompactString, nodes: &Arc<Vec<NodeAddress>>) {
         let inner = &mut *self.inner.borrow_mut();
         if inner.me != *me || inner.nodes != *nodes {
@@ -69,7 +73,8 @@
         }
     }
 
-    /// Records the rate limit in a runner's response, in requests per second of all nodes together.
+    /// Records the rate limit given in a runner's response, in requests per second by all nodes
+    /// together.
     pub fn set_rate_limit(&self, key: RunnerKey, limit: Option<f64>) {
         let now = Instant::now();
         let limit = limit.map(|limit| (limit * RATE_SCALE).round() as u32);
@@ -78,14 +83,14 @@
         }
     }
 
-    /// Whether a runner limits its rate of requests.
+    /// Returns whether a runner limits its rate of requests.
     pub fn is_rate_limited(&self, key: RunnerKey) -> bool {
         let now = Instant::now();
         self.inner.borrow().runners.get(key).is_some_and(|runner| runner.is_limited(now))
     }
 
-    /// Takes one request from this node's part of a runner's rate limit; false if it is used up, or if
-    /// the runner has announced that it leaves or wants no request for some time.
+    /// Takes a token from this node's share of a runner's rate limit; returns false if there is
+    /// none, or if the runner is draining or paused.
     pub fn admit(&self, key: RunnerKey) -> bool {
         let now = Instant::now();
         let inner = &mut *self.inner.borrow_mut();
@@ -97,7 +102,7 @@
         }
     }
 
-    /// Limits observed by this node, for peers.
+    /// Returns the limits received by this node that are `relevant`, for peers.
     pub(super) fn limits(
         &self,
         mut relevant: impl FnMut(&mut AdvertisedLimit) -> bool,
@@ -111,12 +116,12 @@
         reports.collect()
     }
 
-    /// Limits that peers do not have yet.
+    /// Returns the limits that were not reported to peers yet, and marks them as reported.
     pub(super) fn take_limits(&self) -> Vec<RateLimit> {
         self.limits(|limit| std::mem::take(&mut limit.dirty))
     }
 
-    /// Limits that peers may have missed.
+    /// Returns the limits that peers may have missed.
     pub(super) fn recent_limits(&self) -> Vec<RateLimit> {
         let now = Instant::now();
         self.limits(|limit| now < limit.at + REPEAT_PERIOD)
@@ -124,7 +129,7 @@
 }
 
 impl Inner {
-    /// Applies a limit unless a newer one is known; returns whether peers have to be informed.
+    /// Applies a limit unless a newer one is known; returns whether it has to be reported to peers.
     fn update_limit(&mut self, key: RunnerKey, rate: Option<u32>, at: Instant, own: bool) -> bool {
         let now = Instant::now();
         let Some(runner) = self.runners.get_mut(key) else { return false };
@@ -148,7 +153,7 @@
         dirty
     }
 
-    /// Applies a peer's report.
+    /// Applies a limit reported by a peer.
     pub(super) fn apply_limit(&mut self, report: &RateLimit, now: Instant) {
         let age = Duration::from_millis(report.age_ms.into());
         let (key, at) = (self.by_id.get(&report.runner).copied(), now.checked_sub(age));
@@ -157,7 +162,7 @@
         }
     }
 
-    /// Divides all limits anew, after nodes or runners have changed.
+    /// Recomputes this node's share of all limits, after nodes or runners have changed.
     pub(super) fn divide_limits(&mut self, now: Instant) {
         let limited = self.runners.iter().filter(|(_, runner)| runner.is_limited(now));
         let limited: Vec<RunnerKey> = limited.map(|(key, _)| key).collect();
@@ -175,8 +180,9 @@
         }
     }
 
-    /// The nodes that share a runner's limit: at most `count` by rendezvous hashing, of the nodes whose
-    /// failure domain mainly uses this runner, or of all if there are none.
+    /// Returns the nodes that share a runner's limit: at most `count`, selected by rendezvous
+    /// hashing from the nodes that mainly use the runner's failure domain, or from all nodes if
+    /// there are none.
     fn owners(&self, runner: &Runner, count: usize) -> BTreeSet<&CompactString> {
         let domains = self.domains(&runner.registration.service);
         let domain = &runner.registration.domain;
@@ -191,7 +197,7 @@
         ranked.into_iter().take(count).map(|node| &node.name).collect()
     }
 
-    /// The failure domains with runners of a service.
+    /// Returns the failure domains with ready runners of a service.
     fn domains(&self, service: &str) -> BTreeSet<&CompactString> {
         let keys = self.services.get(service).into_iter().flatten();
         let ready = keys.map(|key| &self.runners[*key]).filter(|runner| runner.is_ready());
@@ -206,7 +212,8 @@
     }
 }
 
-/// The failure domain, of those with runners, that the nodes of another one mainly use.
+/// Returns the failure domain that nodes of the domain `from` mainly use: their own one if it has
+/// runners, else one selected by rendezvous hashing.
 fn preferred_domain<'a>(
     domains: &BTreeSet<&'a CompactString>,
     from: &CompactString,
@@ -221,13 +228,14 @@
         self.limit.as_ref().is_some_and(|limit| limit.is_in_force(now))
     }
 
-    /// Whether its rate limit, if any, leaves this node another request.
+    /// Returns whether the rate limit, if any, allows this node another request.
     pub(super) fn has_token(&self, now: Instant) -> bool {
         let limit = self.limit.as_ref().filter(|limit| limit.is_in_force(now));
         limit.is_none_or(|limit| limit.bucket.has_token(now))
     }
 
-    /// Time until it has a token; `None` if this node has no part of the limit.
+    /// Returns the time until the rate limit, if any, allows another request; `None` if this node
+    /// has no share of the limit.
     pub(super) fn time_until_token(&self, now: Instant) -> Option<Duration> {
         match &self.limit {
             Some(limit) if limit.is_in_force(now) => limit.bucket.time_until_token(now),
--- a/crates/relay/src/fleet/rate_limit/bucket.rs
+++ b/crates/relay/src/fleet/rate_limit/bucket.rs
@@ -2,38 +2,38 @@
 
 use {std::time::Duration, tokio::time::Instant};
 
-/// Longest stated wait, for a bucket that hardly fills.
+/// Maximum returned wait, for a bucket with a very low rate.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A bucket that starts empty.
+/// Token bucket, empty at first.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bucket {
     /// Tokens per second.
     rate: f64,
     capacity: f64,
     tokens: f64,
-    /// Time up to which `tokens` were added.
+    /// Time up to which tokens have been added.
     updated_at: Instant,
 }
 
 impl Bucket {
-    /// An empty bucket that does not fill.
+    /// Creates an empty bucket with the rate and capacity 0.
     pub(super) fn new(now: Instant) -> Bucket {
         Bucket { rate: 0.0, capacity: 0.0, tokens: 0.0, updated_at: now }
     }
 
-    /// Changes the rate in tokens per second, and the capacity.
+    /// Changes the rate, in tokens per second, and the capacity.
     pub(super) fn resize(&mut self, now: Instant, rate: f64, capacity: f64) {
         self.tokens = self.level(now).min(capacity);
         (self.rate, self.capacity, self.updated_at) = (rate, capacity, now);
     }
 
-    /// Whether there is a token.
+    /// Returns whether a token is available.
     pub(super) fn has_token(&self, now: Instant) -> bool {
         self.level(now) >= 1.0
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token; returns false if none is available.
     pub(super) fn try_take(&mut self, now: Instant) -> bool {
         (self.tokens, self.updated_at) = (self.level(now), now);
         let taken = self.tokens >= 1.0;
@@ -43,7 +43,7 @@
         taken
     }
 
-    /// Time until there is a token; `None` if it does not fill.
+    /// Returns the time until a token is available; `None` if the rate is 0.
     pub(super) fn time_until_token(&self, now: Instant) -> Option<Duration> {
         let missing = (1.0 - self.level(now)).max(0.0);
         let wait = Duration::try_from_secs_f64(missing / self.rate).unwrap_or(MAX_WAIT);
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -39,32 +39,33 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// Shortest `Retry-After` of a rejected request.
+/// Minimum `Retry-After` of a rejected request.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// Range of the random part of `Retry-After`, so that rejected callers spread out.
+/// Range of the random part of `Retry-After`, so that rejected callers do not retry at the same
+/// time.
 const RETRY_AFTER_JITTER: Duration = Duration::from_millis(450);
 
-/// Shared state of all flows. Clones share it.
+/// State shared by all flows and by all clones.
 #[derive(Clone)]
 pub struct Traffic<D, N> {
     /// Client for the runners.
     pub client: RunnerClient<D, N>,
-    /// View published by the control thread.
+    /// Latest view published by the control thread.
     pub published: Published,
-    /// Requests and streams in flight.
+    /// Number of requests and streams in flight.
     pub in_flight: Rc<Cell<usize>>,
-    /// Metrics.
+    /// Metrics of this node.
     pub metrics: Metrics,
-    /// Outcomes of requests during a rollout, for the control thread.
+    /// Sends outcomes of requests during a rollout to the control thread.
     pub samples: Option<mpsc::UnboundedSender<RolloutSample>>,
-    /// Retry budgets.
+    /// Retry budgets by service.
     pub budgets: Budgets,
     exposures: Rc<RefCell<FxHashMap<CompactString, Exposure>>>,
     prefill_rates: Rc<RefCell<FxHashMap<CompactString, PrefillRate>>>,
     bound: Bound,
 }
 
-/// Counts a request as in flight until dropped.
+/// Guard that counts a request as in flight until it is dropped.
 pub struct InFlightGuard(Rc<Cell<usize>>);
 
 impl InFlightGuard {
@@ -81,7 +82,7 @@
 }
 
 impl<D: Dialect, N: Network> Traffic<D, N> {
-    /// Creates the state with an empty fleet.
+    /// Creates the state without any runners.
     pub fn new(
         dialect: D,
         network: N,
@@ -109,13 +110,13 @@
         }
     }
 
-    /// Replaces the metrics.
+    /// Replaces the metrics of the flows and of the runner client.
     pub fn set_metrics(&mut self, metrics: &Metrics) {
         self.client.metrics = metrics.clone();
         self.metrics = metrics.clone();
     }
 
-    /// Runs a request to its response.
+    /// Executes a request with the flow of its route kind and returns the response.
     pub async fn serve(&self, mut call: Call) -> Response<ResponseBody> {
         call.version = self.choose_version(&call.service);
         self.budgets.count_request(&call.service);
@@ -136,19 +137,19 @@
         response
     }
 
-    /// Counts a request as in flight.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn track_in_flight(&self) -> InFlightGuard {
         InFlightGuard::new(&self.in_flight)
     }
 
-    /// Selects a runner.
+    /// Selects a runner that is not in `except`, according to the rollout of the service.
     fn choose_runner(&self, call: &Call, except: &[RunnerKey]) -> Option<Endpoint> {
         let view = self.published.load();
         let version = version_constraint(&view, call);
         let fleet = &self.client.fleet;
         let endpoint = fleet.choose(&Criteria { version, ..self.criteria(call, except) });
         match (endpoint, version) {
-            // Falls back to the old version when no runner of the new one is left.
+            // Fall back to the old version if no runner of the new one is available.
             (None, Some(Version::Only(to))) => {
                 let version = Some(Version::Except(to));
                 fleet.choose(&Criteria { version, ..self.criteria(call, except) })
@@ -166,7 +167,7 @@
         Some(exposure.choose(split, &self.bound, view.nodes.len(), rand::rng().random()))
     }
 
-    /// Reports the outcome of a first attempt during a rollout.
+    /// Reports the outcome of a first attempt to the control thread during a rollout.
     fn report_sample(&self, call: &Call, runner: RunnerKey, attempt: AttemptSummary) {
         let (Some(choice), Some(samples)) = (call.version, &self.samples) else { return };
         let sample = RolloutSample {
@@ -178,11 +179,11 @@
             pace: attempt.pace,
             runner: runner.data().as_ffi(),
         };
-        // The receiver lives as long as the process.
+        // The receiver exists as long as the process.
         _ = samples.send(sample);
     }
 
-    /// Selection criteria for a request.
+    /// Returns the selection criteria for a request.
     fn criteria<'a>(&self, call: &'a Call, except: &'a [RunnerKey]) -> Criteria<'a> {
         let (service, prompt) = (call.service.as_str(), call.head.prompt);
         let memory = self.engine(call).map_or(0, |engine| engine.memory);
@@ -197,24 +198,25 @@
         }
     }
 
-    /// Engine parameters of the request's service.
+    /// Returns the engine parameters of the request's service; `None` for a plain service.
     fn engine(&self, call: &Call) -> Option<Engine> {
         let view = self.published.load();
         view.catalog.as_ref()?.services.get(&call.service)?.engine.clone()
     }
 
-    /// Takes one retry from the retry budget.
+    /// Takes one retry from the service's budget; returns false if it is exhausted.
     fn take_retry(&self, service: &str) -> bool {
         let nodes = self.published.load().nodes.len();
         self.budgets.try_take(service, nodes)
     }
 
-    /// Accesses the prefill rate of a service.
+    /// Calls `work` with the prefill rate of a service.
     fn prefill_rate<T>(&self, service: &str, work: impl FnOnce(&mut PrefillRate) -> T) -> T {
         work(self.prefill_rates.borrow_mut().entry(service.into()).or_default())
     }
 
-    /// A rejection with a randomized `Retry-After`, not before a runner wants a request.
+    /// Returns a rejection whose `Retry-After` is random, but not shorter than the time until a
+    /// runner accepts requests.
     fn not_run_rejection(&self, call: &Call) -> Refusal {
         let wait = self.client.fleet.time_until_ready(&call.service).unwrap_or_default();
         let least = wait.max(MIN_RETRY_AFTER);
@@ -230,10 +232,10 @@
     }
 }
 
-/// Outcome of a first attempt.
+/// Outcome of the first attempt of a request.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptSummary {
-    /// Whether it succeeded.
+    /// Whether the attempt succeeded.
     ok: bool,
     /// Time to the first event or the response.
     first: Option<Duration>,
@@ -241,7 +243,7 @@
     pace: Option<Duration>,
 }
 
-/// Classifies a response by its head.
+/// Classifies a response by its status and its signature.
 fn classify<D: Dialect>(response: &Response<ResponseBody>, dialect: &D) -> Outcome {
     match response.status() {
         status if status.is_success() => Outcome::Served,
@@ -250,13 +252,13 @@
     }
 }
 
-/// Outcome of a call that ended just now.
+/// Returns the outcome of an attempt without events that has just ended.
 fn summarize(call: &Call, ok: bool) -> AttemptSummary {
     AttemptSummary { ok, first: ok.then(|| call.start.elapsed()), pace: None }
 }
 
-/// Version constraint of a request. A rolled-back version gets nothing, even if the request was
-/// assigned to it earlier.
+/// Returns the version constraint of a request. A version that was rolled back gets no request,
+/// even if the request was assigned to it before.
 fn version_constraint<'a>(view: &'a View, call: &Call) -> Option<Version<'a>> {
     let split = view.splits.get(&call.service)?;
     let new = call.version.is_some_and(|choice| choice.new);
@@ -267,7 +269,7 @@
     }
 }
 
-/// Send options of a plain attempt after `earlier` ones.
+/// Returns the options of a send without replicas, after `earlier` sends of the same request.
 fn send_options(call: &Call, endpoint: &Endpoint, earlier: usize) -> SendOptions {
     let now = Instant::now();
     let left = call.caller_deadline().map(|end| end.saturating_duration_since(now));
--- a/crates/relay/src/flow/at_most_once.rs
+++ b/crates/relay/src/flow/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run more than once.
+//! Flow of requests that must not run more than once.
 
 use {
     super::{Traffic, send_options, summarize},
@@ -15,19 +15,19 @@
     tokio::time::Instant,
 };
 
-/// Maximum runners tried while each rejects the request.
+/// Maximum number of runners that are tried while each of them rejects the request.
 const MAX_RUNNERS: usize = 4;
 
-/// Tries runners until the request may have started on one, and never again after that. Caller
-/// retries carry a new attempt id, so no state has to be kept.
+/// Tries runners until the request may have started on one of them, and does not retry after that.
+/// A retry by the caller carries a new attempt id, so no state is kept between requests.
 pub(super) async fn serve<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     call: &Call,
 ) -> Response<ResponseBody> {
-    let until = call.deadline();
+    let deadline = call.deadline();
     let mut tried = Vec::new();
     let mut reached_runner = false;
-    while tried.len() < MAX_RUNNERS && Instant::now() < until {
+    while tried.len() < MAX_RUNNERS && Instant::now() < deadline {
         let Some(endpoint) = traffic.choose_runner(call, &tried) else { break };
         if reached_runner && !traffic.take_retry(&call.service) {
             break;
@@ -36,9 +36,9 @@
         let _lease = fleet.lease_call(endpoint.clone());
         let key = endpoint.key;
         let options = send_options(call, &endpoint, tried.len());
-        match traffic.client.send(call, &endpoint, &options, until).await {
+        match traffic.client.send(call, &endpoint, &options, deadline).await {
             SendOutcome::Answered(reply) => {
-                return match traffic.client.read_body(reply, &endpoint, until).await {
+                return match traffic.client.read_body(reply, &endpoint, deadline).await {
                     Ok((parts, bytes)) => {
                         traffic.report_sample(
                             call,
@@ -49,7 +49,7 @@
                     }
                     Err(error) => {
                         traffic.report_sample(call, key, summarize(call, false));
-                        traffic.reject(call, lost(error))
+                        traffic.reject(call, rejection_of(error))
                     }
                 };
             }
@@ -61,7 +61,7 @@
                     fleet.record_failure(key, Instant::now());
                 }
                 traffic.report_sample(call, key, summarize(call, false));
-                return traffic.reject(call, lost(error));
+                return traffic.reject(call, rejection_of(error));
             }
         }
         tried.push(key);
@@ -69,8 +69,8 @@
     traffic.reject(call, traffic.not_run_rejection(call))
 }
 
-/// Response to a request that may have run.
-fn lost(error: SendError) -> Refusal {
+/// Returns the rejection of a request that may have run.
+fn rejection_of(error: SendError) -> Refusal {
     match error {
         SendError::Silent => Refusal::Timeout,
         SendError::Unsent | SendError::Broken => Refusal::Lost,
--- a/crates/relay/src/flow/generation.rs
+++ b/crates/relay/src/flow/generation.rs
@@ -1,4 +1,4 @@
-//! Generation streams, resumed on another runner after a failure.
+//! Flow of generation streams, which are resumed on another runner after a failure.
 
 mod replica;
 mod placement;
@@ -31,12 +31,12 @@
     tokio::time::Instant,
 };
 
-/// Share of the route's maximum gap after which a silent runner is abandoned; the rest is for
-/// resuming from a replica.
+/// Share of the route's maximum gap after which a runner without events is abandoned; the rest is
+/// reserved for resuming from a replica.
 const STALL_SHARE: f64 = 0.6;
-/// Stall timeout where the route sets no maximum gap.
+/// Stall timeout of a route without a maximum gap.
 const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum sends of one stream.
+/// Maximum number of sends per stream.
 const MAX_SENDS: u32 = 12;
 
 /// State of one stream.
@@ -45,39 +45,39 @@
     call: Call,
     /// Id of the last event delivered to the caller.
     position: Option<u64>,
-    /// Runners that failed this stream; tried again only as a last resort.
+    /// Runners that failed this stream; selected again only if there is no other.
     failed: Vec<RunnerKey>,
-    /// Runs that started from the prompt.
+    /// Number of runs that started from the prompt.
     runs: u32,
-    /// Sends so far.
+    /// Number of sends.
     sends: u32,
-    /// Whether one of them has reached a runner.
+    /// Whether a send has reached a runner.
     reached_runner: bool,
     /// Time of the first event.
     first_event_at: Option<Instant>,
-    /// How the current run was resumed.
+    /// Source from which the current run was resumed.
     resumed: Resume,
-    /// Replica of the last run and its holder.
+    /// Replica of the last run with the runner that holds it.
     last_replica: Option<(Endpoint, ReplicaRef)>,
-    /// A runner's own error response, returned if no runner succeeds.
+    /// Error response of a runner, returned if no runner succeeds.
     failure: Option<(Parts, Bytes)>,
     /// Error of the last run that may have started.
     lost: Option<SendError>,
 }
 
-/// A run that has started.
+/// A run whose response has started.
 struct StartedRun {
     parts: Parts,
     run: Run,
-    /// Its first event; `None` if it ended without one.
+    /// First event; `None` if the run ended without one.
     first: Option<Event>,
 }
 
-/// Final result of a stream that no runner can start or resume.
+/// Why a stream cannot be started or resumed.
 enum FinalFailure {
-    /// A runner's own error response.
+    /// Error response of a runner.
     Failure(Parts, Bytes),
-    /// A rejection by this node.
+    /// Rejection by this node.
     Refused(Refusal),
 }
 
@@ -91,7 +91,7 @@
     Lost(SendError),
 }
 
-/// Opens a stream; the response starts with its first event.
+/// Starts a stream and returns its response, which begins with the first event.
 pub(super) async fn serve<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     call: Call,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Sends until a run starts.
+    /// Sends the request to one runner after another until a run starts.
     async fn start_run(&mut self) -> Result<StartedRun, FinalFailure> {
         let end = self.call.deadline();
         let mut cached = if self.sends == 0 { self.find_cached().await } else { None };
@@ -174,7 +174,7 @@
                     self.mark_failed(endpoint.key);
                 }
             }
-            // A missing replica says nothing about the runner's ability to prefill the prompt.
+            // A runner without the replica may still prefill the prompt.
             if !from_replica {
                 self.failed.push(endpoint.key);
             }
@@ -182,7 +182,7 @@
         Err(self.final_failure())
     }
 
-    /// Forwards events until the stream ends or cannot be resumed.
+    /// Forwards events until the stream is complete, cannot be resumed, or the caller disconnects.
     async fn forward_events(&mut self, sender: BodySender, mut run: Run, first: Option<Event>) {
         let mut next = first.ok_or(RunEnd::Whole);
         loop {
@@ -226,7 +226,8 @@
         sender.push(event.bytes).await
     }
 
-    /// Abandons a run. Its connection is closed before another runner resumes the stream.
+    /// Abandons a run. Its connection is closed before another runner resumes the stream, which
+    /// cancels the run.
     fn abandon(&mut self, run: Run, reason: RunEnd) {
         let key = run.endpoint().key;
         self.report_sample(key, false);
@@ -297,23 +298,24 @@
         }
     }
 
-    /// Whether the limits allow another send. One that follows only failed connections is no retry.
+    /// Returns whether the limits allow another send, and takes it from the retry budget if an
+    /// earlier one has reached a runner.
     fn may_send(&self, end: Instant) -> bool {
         if self.sends == 0 {
             return true;
         }
-        let runs = self.runs < self.call.route.attempts.max(1);
-        let again = self.lost.is_none() || self.is_resumable();
-        let left = self.sends < MAX_SENDS && Instant::now() < end;
-        let paid = || !self.reached_runner || self.traffic.take_retry(&self.call.service);
-        runs && again && left && paid()
+        let has_runs_left = self.runs < self.call.route.attempts.max(1);
+        let is_safe = self.lost.is_none() || self.is_resumable();
+        let has_sends_left = self.sends < MAX_SENDS && Instant::now() < end;
+        let has_budget = || !self.reached_runner || self.traffic.take_retry(&self.call.service);
+        has_runs_left && is_safe && has_sends_left && has_budget()
     }
 
     fn is_resumable(&self) -> bool {
         self.call.route.kind == Kind::Resumable
     }
 
-    /// Reports the outcome of the first send during a rollout.
+    /// Reports the outcome of the first send to the control thread during a rollout.
     fn report_sample(&self, key: RunnerKey, ok: bool) {
         if self.sends > 1 {
             return;
--- a/crates/relay/src/flow/generation/logging.rs
+++ b/crates/relay/src/flow/generation/logging.rs
@@ -1,4 +1,4 @@
-//! Log messages of a stream.
+//! Log messages about a stream.
 
 use {
     super::{Generation, run::Run},
--- a/crates/relay/src/flow/generation/placement.rs
+++ b/crates/relay/src/flow/generation/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of streams and of their replicas.
+//! Selection of runners for streams and their replicas.
 
 use {
     super::{Generation, replica::Replica, run::Run},
@@ -13,10 +13,10 @@
 };
 
 impl<D: Dialect, N: Network> Generation<D, N> {
-    /// The replica's holder if it is available, else the best runner. Replicas are addressed by
-    /// endpoint, so one may survive under the holder's new id; the runner rejects the request
-    /// otherwise. A holder that is merely suspect is used: prefilling the prompt again takes longer
-    /// than finding out.
+    /// Returns the replica's holder with the replica if the holder is available, else another
+    /// runner. Replicas are addressed by endpoint, so a replica may still exist if the holder has a
+    /// new id; if it does not, the runner rejects the request. A holder that is only suspect is
+    /// used as well: a failed attempt takes less time than prefilling the prompt again.
     pub(super) fn next_endpoint(&mut self) -> Option<(Endpoint, Option<ReplicaRef>)> {
         let fleet = &self.traffic.client.fleet;
         if let Some((endpoint, from_replica)) = self.last_replica.take() {
@@ -29,11 +29,13 @@
         Some((self.choose()?, None))
     }
 
-    /// Replaces the replica if its holder is lost or draining, or none exists.
+    /// Requests a new replica if there is none or its holder is lost or draining.
     pub(super) fn renew_replica(&self, run: &mut Run) {
         let client = &self.traffic.client;
-        let sound = |b: &Replica| b.is_recent() || client.fleet.is_available(b.holder().key);
-        if run.replica().is_some_and(sound) {
+        let is_usable = |replica: &Replica| {
+            replica.is_recent() || client.fleet.is_available(replica.holder().key)
+        };
+        if run.replica().is_some_and(is_usable) {
             return;
         }
         let Some(holder) = self.choose_replica_endpoint(run.endpoint()) else { return };
@@ -46,15 +48,15 @@
         run.set_replica(Some(Replica::requested(client.clone(), lease, id, source, replica_ttl)));
     }
 
-    /// A runner that has not failed this stream, else any.
+    /// Selects a runner that has not failed this stream, or any runner if there is none.
     fn choose(&self) -> Option<Endpoint> {
         self.traffic
             .choose_runner(&self.call, &self.failed)
             .or_else(|| self.traffic.choose_runner(&self.call, &[]))
     }
 
-    /// Selects the replica's holder: in another failure domain, and preferably one of the prompt's
-    /// preferred runners, where other nodes look for it.
+    /// Selects the runner that will hold the replica: in another failure domain, and if possible
+    /// one of the prompt's preferred runners, on which other nodes look up the cached prompt.
     pub(super) fn choose_replica_endpoint(&self, endpoint: &Endpoint) -> Option<Endpoint> {
         if !self.is_resumable() || !self.traffic.engine(&self.call)?.replication {
             return None;
@@ -69,22 +71,23 @@
         self.traffic.client.fleet.choose(&criteria)
     }
 
-    /// Finds the preferred runner that has the prompt of a resumed stream in its cache.
+    /// Returns the preferred runner that has most of a resumed stream's prompt in its cache, if any
+    /// has a part of it.
     pub(super) async fn find_cached(&self) -> Option<Endpoint> {
         let (Some(prompt), Some(_)) = (self.call.head.prompt, self.call.head.resume) else {
             return None;
         };
         let client = &self.traffic.client;
         let preferred = client.fleet.preferred(&self.traffic.criteria(&self.call, &[]));
-        let asked = preferred.iter().map(|endpoint| client.cached_tokens(endpoint, prompt));
-        let held = join_all(asked).await.into_iter().zip(preferred);
-        let (tokens, endpoint) = held.max_by_key(|(tokens, _)| *tokens)?;
+        let lookups = preferred.iter().map(|endpoint| client.cached_tokens(endpoint, prompt));
+        let results = join_all(lookups).await.into_iter().zip(preferred);
+        let (tokens, endpoint) = results.max_by_key(|(tokens, _)| *tokens)?;
         log::info!(request = self.call.head.id.as_str(), prompt, runner = endpoint.id.as_str(), tokens;
             "prompt cache lookup");
         (tokens > 0).then_some(endpoint)
     }
 
-    /// Whether a resumed stream cannot produce an event before the caller's deadline.
+    /// Returns whether a resumed stream cannot produce an event before the caller's deadline.
     pub(super) fn misses_deadline(&self, cached_tokens: bool) -> bool {
         let (Some(position), Some(end)) = (self.call.head.resume, self.call.caller_deadline())
         else {
@@ -92,12 +95,12 @@
         };
         let unread = if cached_tokens { 0 } else { self.size().prompt };
         let left = end.saturating_duration_since(Instant::now());
-        let hopeless =
+        let is_too_late =
             self.traffic.prefill_rate(&self.call.service, |rate| rate.exceeds(unread, left));
-        if hopeless {
+        if is_too_late {
             log::info!(request = self.call.head.id.as_str(), position, unread,
                 left = left.as_millis() as u64; "the prompt cannot be prefilled before the deadline");
         }
-        hopeless
+        is_too_late
     }
 }
--- a/crates/relay/src/flow/generation/replica.rs
+++ b/crates/relay/src/flow/generation/replica.rs
@@ -1,6 +1,6 @@
-//! Replicas of a run's KV cache, from which a stream is resumed.
+//! Replicas of a run's KV cache, from which a stream can be resumed.
 //!
-//! The runner streams its cache to the first holder by itself. After a holder is lost, further
+//! The runner streams its cache to the holder given in the request. If that holder is lost, further
 //! replicas are requested explicitly; these are snapshots with a time to live, so they are
 //! refreshed until the stream ends.
 
@@ -19,37 +19,37 @@
     },
 };
 
-/// Share of the time to live after which a snapshot is refreshed.
+/// Share of its time to live after which a snapshot is refreshed.
 const REFRESH_SHARE: f64 = 0.75;
-/// Delay before a failed request is retried.
+/// Delay before a failed replication request is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The replica of one run.
+/// Replica of one run.
 pub(super) struct Replica {
-    /// Reserves the holder's memory.
+    /// Reservation of the holder's memory.
     lease: Lease,
-    /// Time of the request; `None` for a streamed replica.
+    /// Time of the replication request; `None` for a streamed replica.
     requested_at: Option<Instant>,
     state: Rc<State>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Reference under which the holder knows it; `None` until it is complete.
+    /// Reference to the replica; `None` until it is complete.
     reference: RefCell<Option<ReplicaRef>>,
-    /// Signals that the run has ended.
+    /// Notified when the run has ended.
     ended: Notify,
 }
 
 impl Replica {
-    /// A replica that the runner streams for the attempt `id`.
+    /// Returns the replica that the runner streams for the attempt `id`.
     pub(super) fn streamed(lease: Lease, id: &CompactString) -> Replica {
         let reference = ReplicaRef { address: lease.endpoint.address, handle: id.clone() };
         let state = State { reference: RefCell::new(Some(reference)), ..State::default() };
         Replica { lease, requested_at: None, state: Rc::new(state) }
     }
 
-    /// A replica requested from the runner at `source`, with time to live `replica_ttl`.
+    /// Requests a replica with the time to live `replica_ttl` from the runner at `source`.
     pub(super) fn requested<D: Dialect, N: Network>(
         client: RunnerClient<D, N>,
         lease: Lease,
@@ -65,27 +65,26 @@
                 () = request_snapshots(&client, &state, &id, &source, &holder, replica_ttl) => {}
                 () = state.ended.notified() => {}
             }
-            // An unused replica occupies the holder's memory until it expires.
-            let left = state.reference.borrow_mut().take();
-            if let Some(reference) = left {
+            // An unused replica would occupy the holder's memory until it expires.
+            let unused = state.reference.borrow_mut().take();
+            if let Some(reference) = unused {
                 client.drop_replica(&source, &reference.handle).await;
             }
         });
         replica
     }
 
-    /// The holder.
     pub(super) fn holder(&self) -> &Endpoint {
         &self.lease.endpoint
     }
 
-    /// Whether it was requested too recently to be replaced. Without this bound each event would
-    /// request another one while all candidates are unstable.
+    /// Returns whether the replica was requested too recently to be replaced. Without this limit,
+    /// each event would request another replica while all candidates are unstable.
     pub(super) fn is_recent(&self) -> bool {
         self.requested_at.is_some_and(|at| at.elapsed() < RETRY_DELAY)
     }
 
-    /// Takes the holder and the reference, if it is complete.
+    /// Takes the reference to the replica with its holder, if the replica is complete.
     pub(super) fn take(&self) -> Option<(Endpoint, ReplicaRef)> {
         let reference = self.state.reference.borrow_mut().take()?;
         Some((self.lease.endpoint.clone(), reference))
@@ -98,7 +97,7 @@
     }
 }
 
-/// Requests snapshots until cancelled.
+/// Requests snapshots from the runner until cancelled.
 async fn request_snapshots<D: Dialect, N: Network>(
     client: &RunnerClient<D, N>,
     state: &State,
--- a/crates/relay/src/flow/generation/run.rs
+++ b/crates/relay/src/flow/generation/run.rs
@@ -1,4 +1,4 @@
-//! One run of a stream on one runner.
+//! Run of a stream on one runner.
 
 use {
     super::replica::Replica,
@@ -15,7 +15,7 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// A run and its connection; dropping it closes the connection and cancels the run.
+/// A run with its connection; dropping it closes the connection, which cancels the run.
 pub(super) struct Run {
     connection: Connection,
     body: Incoming,
@@ -28,27 +28,27 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunEnd {
-    /// Complete.
+    /// The stream is complete.
     Whole,
     /// Connection error, or end of stream within an event.
     Cut,
-    /// Timeout.
+    /// No event within the timeout.
     Silent,
-    /// Missing event or malformed data.
+    /// Missing event, or an event that is too long.
     Disorder,
 }
 
 impl Run {
-    /// Starts reading a response.
+    /// Creates a run from a response head and its unread body.
     pub(super) fn new(reply: Reply, lease: Lease, replica: Option<Replica>) -> (Parts, Run) {
         let Reply { mut parts, head, body, connection } = reply;
-        // Events of further runs change the length.
+        // The events of later runs change the length.
         parts.headers.remove(header::CONTENT_LENGTH);
         let splitter = Splitter::default();
         (parts, Run { connection, body, splitter, lease, replica, idle_timeout: head.idle })
     }
 
-    /// The next event after `position`, within `timeout`.
+    /// Returns the next event after `position`, or why there is none within `timeout`.
     pub(super) async fn next(
         &mut self,
         timeout: Duration,
@@ -75,22 +75,19 @@
         }
     }
 
-    /// Marks the prompt as prefilled.
+    /// Marks the prompt as prefilled in the load of the runner.
     pub(super) fn mark_started(&mut self) {
         self.lease.mark_prefilled();
     }
 
-    /// The runner.
     pub(super) fn endpoint(&self) -> &Endpoint {
         &self.lease.endpoint
     }
 
-    /// The replica.
     pub(super) fn replica(&self) -> Option<&Replica> {
         self.replica.as_ref()
     }
 
-    /// Replaces the replica.
     pub(super) fn set_replica(&mut self, replica: Option<Replica>) {
         self.replica = replica;
     }
@@ -114,8 +111,8 @@
     Gap,
 }
 
-/// Compares an event's id with `position`. A resumed run may repeat events; a gap cannot be
-/// repaired.
+/// Compares an event's id with the id of the last delivered event. A resumed run may repeat events;
+/// a missing event cannot be recovered.
 fn check_continuity(event: &Event, position: Option<u64>) -> Continuity {
     match (event.id, position) {
         (Some(id), Some(last)) if id <= last => Continuity::Duplicate,
--- a/crates/relay/src/flow/idempotent.rs
+++ b/crates/relay/src/flow/idempotent.rs
@@ -1,4 +1,4 @@
-//! Idempotent requests.
+//! Flow of idempotent requests.
 
 use {
     super::{Traffic, send_options, summarize},
@@ -17,22 +17,22 @@
     tokio::time::Instant,
 };
 
-/// Share of the latency objective after which a slow runner is abandoned for another one.
+/// Share of the latency objective after which the request is sent to another runner.
 const HEDGE_SHARE: f64 = 0.6;
-/// Maximum runners tried while each rejects the request.
+/// Maximum number of runners that are tried while each of them rejects the request.
 const MAX_RUNNERS: usize = 5;
 
-/// State between two attempts.
+/// State of a request between two attempts.
 #[derive(Default)]
 struct Progress {
     tried: Vec<RunnerKey>,
     /// Whether an attempt has reached a runner.
     reached_runner: bool,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     runs: u32,
-    /// Response to return if no runner succeeds.
+    /// Error response of a runner, returned if no runner succeeds.
     failure: Option<(Parts, Bytes)>,
-    /// Error of the last attempt.
+    /// Error of the last attempt without a response.
     lost: Option<SendError>,
 }
 
@@ -51,12 +51,12 @@
         }
         let last =
             progress.runs + 1 == attempts || traffic.client.fleet.ready_count(&call.service) < 2;
-        let until = if last { end } else { hedge_deadline(call, end) };
+        let deadline = if last { end } else { hedge_deadline(call, end) };
         let _lease = traffic.client.fleet.lease_call(endpoint.clone());
         let options = send_options(call, &endpoint, progress.tried.len());
         progress.tried.push(endpoint.key);
-        let sent = traffic.client.send(call, &endpoint, &options, until).await;
-        let answer = evaluate(traffic, &mut progress, sent, &endpoint, until).await;
+        let sent = traffic.client.send(call, &endpoint, &options, deadline).await;
+        let answer = evaluate(traffic, &mut progress, sent, &endpoint, deadline).await;
         if progress.tried.len() == 1 && progress.runs == 1 {
             traffic.report_sample(call, endpoint.key, summarize(call, answer.is_some()));
         }
@@ -66,31 +66,31 @@
     }
     match progress.failure {
         Some((parts, bytes)) => Response::from_parts(parts, bytes.into()),
-        None => traffic.reject(call, refusal(traffic, call, &progress)),
+        None => traffic.reject(call, rejection_of(traffic, call, &progress)),
     }
 }
 
-/// Deadline of an attempt that is not the last.
+/// Returns the deadline of an attempt that is not the last one.
 fn hedge_deadline(call: &Call, end: Instant) -> Instant {
     let now = Instant::now();
     let share = call.route.objective.mul_f64(HEDGE_SHARE);
     (now + share).min(now + end.saturating_duration_since(now) / 2)
 }
 
-/// Evaluates an attempt; returns the response if it is final.
+/// Evaluates an attempt and returns its response if that is final.
 async fn evaluate<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     progress: &mut Progress,
     sent: SendOutcome,
     endpoint: &Endpoint,
-    until: Instant,
+    deadline: Instant,
 ) -> Option<(Parts, Bytes)> {
     let (fleet, key) = (&traffic.client.fleet, endpoint.key);
     progress.reached_runner |= !matches!(sent, SendOutcome::Unsent | SendOutcome::Withheld);
     match sent {
         SendOutcome::Answered(reply) => {
             progress.runs += 1;
-            match traffic.client.read_body(reply, endpoint, until).await {
+            match traffic.client.read_body(reply, endpoint, deadline).await {
                 Ok((parts, bytes)) if !is_failure(parts.status) => return Some((parts, bytes)),
                 Ok(failure) => progress.failure = Some(failure),
                 Err(error) => progress.lost = Some(error),
@@ -110,7 +110,7 @@
     None
 }
 
-fn refusal<D: Dialect, N: Network>(
+fn rejection_of<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     call: &Call,
     progress: &Progress,
--- a/crates/relay/src/flow/prefill_rate.rs
+++ b/crates/relay/src/flow/prefill_rate.rs
@@ -1,16 +1,16 @@
-//! Observed prefill rate per service.
+//! Observed prefill rate of a service.
 
 use std::time::Duration;
 
-/// Best prefill time per token seen on a service's engines: a lower bound for any engine.
+/// Shortest prefill time per token observed on a service's engines; a lower bound for any engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PrefillRate {
-    /// Seconds per prompt token, queueing included.
+    /// Seconds per prompt token, including queueing; `None` before the first observation.
     seconds_per_token: Option<f64>,
 }
 
 impl PrefillRate {
-    /// Records the time from arrival to the first event.
+    /// Records the time from the arrival of a prompt to its first event.
     pub fn observe(&mut self, tokens: u32, took: Duration) {
         if tokens > 0 {
             let seconds_per_token = took.as_secs_f64() / f64::from(tokens);
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Whether a prompt cannot be prefilled in `left`; false before the first observation.
+    /// Returns whether prefilling the prompt takes longer than `left`; false before the first
+    /// observation.
     pub fn exceeds(&self, tokens: u32, left: Duration) -> bool {
         self.seconds_per_token.is_some_and(|seconds_per_token| {
             left.as_secs_f64() < seconds_per_token * f64::from(tokens)
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -41,27 +41,27 @@
         Ranking(names)
     }
 
-    /// Rank of a node; the last one if it is unknown.
+    /// Returns the rank of a node; the last one if it is unknown.
     pub fn rank(&self, name: &str) -> usize {
         self.0.iter().position(|n| n == name).unwrap_or(self.0.len())
     }
 
-    /// Whether a node is in the domain.
+    /// Returns whether a node is in the domain.
     pub fn contains(&self, name: &str) -> bool {
         self.rank(name) < self.len()
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are no nodes.
+    /// Returns whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The nodes that should read the store.
+    /// Returns the nodes that should read the store.
     pub fn readers(&self) -> &[CompactString] {
         &self.0[..self.0.len().min(READERS)]
     }
@@ -97,7 +97,7 @@
 }
 
 impl Election {
-    /// A node that takes no part before [`Election::start`].
+    /// Returns a node that takes no part before [`Election::start`].
     pub fn new(seed: u64) -> Election {
         let rng = SmallRng::seed_from_u64(seed);
         Election {
@@ -114,7 +114,7 @@
         self.start = Some(now);
     }
 
-    /// Whether this node takes part.
+    /// Returns whether this node takes part.
     pub fn is_started(&self) -> bool {
         self.start.is_some()
     }
@@ -144,12 +144,12 @@
         }
     }
 
-    /// Whether some other node reports that the store is available to it.
+    /// Returns whether some other node reports that the store is available to it.
     pub fn has_reader(&self, now: Instant) -> bool {
         self.reports.values().any(|report| report.is_available(now))
     }
 
-    /// Whether this node should poll the store.
+    /// Returns whether this node should poll the store.
     pub fn step(&mut self, now: Instant, me: &str, ranking: &Ranking) -> bool {
         let Some(start) = self.start else { return false };
         let rank = ranking.rank(me);
@@ -163,13 +163,13 @@
             Role::Reader => {}
             Role::Standby if self.has_reader(now) => self.attempt_at = None,
             Role::Standby => {
-                self.schedule(now, now.max(start + FIRST_REPORT_TIMEOUT), rank, ranking.len())
+                self.schedule(now, now.max(start + FIRST_REPORT_TIMEOUT), rank, ranking.len());
             }
         }
         self.role != Role::Standby
     }
 
-    /// Whether a node of a lower rank reads the store.
+    /// Returns whether a node of a lower rank reads the store.
     fn is_relieved(&self, now: Instant, rank: usize) -> bool {
         self.reports.values().any(|report| report.rank < rank && report.is_available(now))
     }
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -1,9 +1,10 @@
-//! Rollouts: an operator orders a service to move to another version by a deadline.
+//! Rollouts: an operator orders that a service moves to another version by a deadline.
 //!
-//! A state machine per node and service. During the rollout the new version gets a bounded share of
-//! the requests ([`exposure`]); nodes pool their evidence and compare both versions with a
-//! sequential test. Any node may reduce the share on its own. Only completion needs the store,
-//! because the old runners stop then: the first final status written there is authoritative.
+//! Each node has a state machine per service. During the rollout the new version gets a bounded
+//! share of the requests ([`exposure`]). The nodes exchange their results and compare both versions
+//! with a sequential test. Any node may stop sending requests to the new version on its own. Only
+//! completion needs the store, because the old runners stop then: the first final status written to
+//! the store is authoritative.
 
 pub mod exposure;
 mod track;
@@ -33,7 +34,7 @@
     pub time: Duration,
 }
 
-/// Rollout status as stored.
+/// Status of a rollout as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// Service.
@@ -59,7 +60,7 @@
     pub first: Option<Duration>,
     /// Mean time between events.
     pub pace: Option<Duration>,
-    /// Distinguishes runners.
+    /// Number that identifies the runner on this node.
     pub runner: u64,
 }
 
@@ -71,7 +72,7 @@
 }
 
 impl Rollouts {
-    /// No rollouts.
+    /// Creates the state without any rollouts.
     pub fn new(me: Incarnation) -> Rollouts {
         Rollouts { me, rollouts: BTreeMap::new(), statuses: BTreeMap::new() }
     }
@@ -100,7 +101,7 @@
         self.statuses.insert(status.service.clone(), (revision, status));
     }
 
-    /// Records an outcome.
+    /// Records the outcome of a request.
     pub fn observe(&mut self, sample: &RolloutSample) {
         if let Some(rollout) = self.rollouts.get_mut(&sample.service) {
             rollout.observe(&Sample {
@@ -115,10 +116,10 @@
         }
     }
 
-    /// Applies a peer's message.
-    pub fn handle_peer_update(&mut self, now: Instant, news: &PeerNews) {
-        if let Some(rollout) = self.rollouts.get_mut(&news.entry) {
-            rollout.handle_peer_update(now, news);
+    /// Applies a message from a peer.
+    pub fn handle_peer_update(&mut self, now: Instant, update: &PeerNews) {
+        if let Some(rollout) = self.rollouts.get_mut(&update.entry) {
+            rollout.handle_peer_update(now, update);
         }
     }
 
@@ -129,20 +130,20 @@
         }
     }
 
-    /// Target versions by service.
+    /// Returns the services with a rollout and their target versions.
     pub fn pending_versions(&self) -> Vec<(CompactString, CompactString)> {
         let each =
             self.rollouts.iter().map(|(service, rollout)| (service.clone(), rollout.to().clone()));
         each.collect()
     }
 
-    /// Advances time. `rank` is this node's position among `nodes`: the first one writes, the next
-    /// ones only if it has not.
+    /// Performs due work. `rank` is this node's position among `nodes` nodes: the first one writes
+    /// the status, the next ones only if it has not.
     pub fn tick(&mut self, now: Instant, rank: usize, nodes: usize) -> Vec<Action> {
         self.rollouts.values_mut().flat_map(|rollout| rollout.tick(now, rank, nodes)).collect()
     }
 
-    /// Current request splits.
+    /// Returns the current splits of requests by service.
     pub fn splits(&self) -> Splits {
         let each =
             self.rollouts.iter().map(|(service, rollout)| (service.clone(), rollout.split()));
--- a/crates/relay/src/rollouts/exposure.rs
+++ b/crates/relay/src/rollouts/exposure.rs
@@ -1,20 +1,21 @@
-//! Exposure of a version that is being rolled out.
+//! Exposure of a new version: the requests that it gets during its rollout.
 //!
-//! The bound is global: a share of the requests during the rollout plus a fixed slack. Each node
-//! uses its part of both, so the bound holds without coordination.
+//! The bound is global: a share of all requests during the rollout plus a fixed slack. Each node
+//! applies the share to its own requests and uses an equal part of the slack, so the bound holds
+//! without coordination.
 
 use {
     crate::view::{Rule, Split},
     bilberryfront_decide::mover::{Choice, MoveId, Share},
 };
 
-/// Share of the bound in use; the rest covers requests in flight at a rollback and nodes that have
-/// just joined.
+/// Share of the bound that is used; the rest covers requests in flight during a rollback and nodes
+/// that have just joined.
 const MARGIN: f64 = 0.6;
-/// Share of the requests sent to the new version while the bound allows.
+/// Share of the requests that are sent to the new version while the bound allows.
 pub(super) const CANARY_SHARE: Share = Share(2_500);
 
-/// Global bound.
+/// Global bound on the requests of a new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     /// Share of all requests.
@@ -32,7 +33,7 @@
 }
 
 impl Exposure {
-    /// Assigns a request as one of `nodes` nodes; `hash` is uniform.
+    /// Assigns a request to a version, as one of `nodes` nodes; `hash` is uniformly distributed.
     pub fn choose(&mut self, split: &Split, bound: &Bound, nodes: usize, hash: u64) -> Choice {
         if self.id != Some(split.id) {
             *self = Exposure { id: Some(split.id), ..Exposure::default() };
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -21,25 +21,26 @@
 
 static CHART: LazyLock<Chart<Phase, Signal>> = LazyLock::new(|| {
     Chart::parse(include_str!("../../../../charts/rollout.json"))
-        .expect("charts/rollout.json is whole")
+        .expect("charts/rollout.json is valid")
 });
 
-/// Share of the time after which a healthy version is completed; the rest covers the write and a
-/// fail-over of the writer.
+/// Share of the rollout time after which a healthy version is completed; the rest covers the write
+/// and a failover of the writer.
 const COMPLETE_SHARE: f64 = 0.85;
-/// Share of the time after which it is completed with little evidence, or rolled back.
+/// Share of the rollout time after which the version is completed if at least one request has
+/// finished and it is healthy, or rolled back otherwise.
 const FINAL_SHARE: f64 = 0.94;
-/// Finished requests of the new version required at [`COMPLETE_SHARE`].
+/// Number of finished requests of the new version that are required at [`COMPLETE_SHARE`].
 const MIN_FINISHED: u32 = 12;
-/// Bad events beyond its share that are attributed to chance.
+/// Number of bad events beyond the new version's share that are attributed to chance.
 const CHANCE_EVENTS: f64 = 2.0;
 /// Evaluation interval.
 const EVALUATE_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval of messages to peers.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Delay between the writers' turns.
+/// Delay before each further node writes, if the status has not been stored.
 const WRITER_STAGGER: Duration = Duration::from_millis(300);
-/// Delay before a write is retried.
+/// Delay before the write of a status is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Phase; see `charts/rollout.json`.
@@ -47,11 +48,11 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// The new version gets a bounded share.
+    /// The new version gets a bounded share of the requests.
     Canary,
-    /// The new version gets everything; the old runners stop.
+    /// The new version gets all requests; the old runners stop.
     Completed,
-    /// The new version gets nothing.
+    /// The new version gets no requests.
     RolledBack,
 }
 
@@ -61,23 +62,23 @@
 enum Signal {
     /// Stored as completed.
     Proved,
-    /// Found bad, or stored as rolled back.
+    /// Found unhealthy, or stored as rolled back.
     Rejected,
-    /// Stored as completed before this node found it bad.
+    /// Stored as completed although this node has found it unhealthy.
     RecordedCompleted,
 }
 
-/// A side effect of a rollout.
+/// Side effect of a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write this status if the stored one has revision `expected` (0: none).
+    /// Write this status if the stored one has the revision `expected`; 0 if there is none.
     Write {
         /// Status.
         status: RolloutStatus,
         /// Expected revision.
         expected: u64,
     },
-    /// Send to all peers.
+    /// Send this message to all peers.
     Broadcast(PeerNews),
 }
 
@@ -87,14 +88,14 @@
     order: RolloutOrder,
     start: Instant,
     phase: Phase,
-    /// Revision of the stored status, and its phase if it belongs to this rollout.
+    /// Revision of the stored status, with its phase if it belongs to this rollout.
     recorded: (u64, Option<Phase>),
     collector: Collector,
     pool: Pool,
     routes: BTreeMap<CompactString, Counts>,
     judge: Judge,
     verdict: Option<Verdict>,
-    /// Time of the verdict.
+    /// Time at which the verdict was set.
     decided_at: Instant,
     runners: usize,
     evaluate_at: Instant,
@@ -145,7 +146,7 @@
         self.runners = new;
     }
 
-    /// Applies a stored status; one older than the order belongs to an earlier rollout.
+    /// Applies a stored status. A status older than the order belongs to an earlier rollout.
     pub(super) fn apply_status(&mut self, revision: u64, status: &RolloutStatus) {
         let mine = revision > self.revision && status.to == self.order.to;
         self.recorded = (revision, mine.then_some(status.phase));
@@ -165,14 +166,14 @@
         }
     }
 
-    pub(super) fn handle_peer_update(&mut self, now: Instant, news: &PeerNews) {
-        if news.id != self.id() {
+    pub(super) fn handle_peer_update(&mut self, now: Instant, update: &PeerNews) {
+        if update.id != self.id() {
             return;
         }
-        if let Some(evidence) = &news.evidence {
-            self.pool.absorb(news.from, evidence);
+        if let Some(evidence) = &update.evidence {
+            self.pool.absorb(update.from, evidence);
         }
-        if let Some(verdict) = &news.verdict {
+        if let Some(verdict) = &update.verdict {
             self.roll_back(now, verdict.clone());
         }
     }
@@ -235,21 +236,22 @@
         }
     }
 
-    /// Whether the new version is healthy on at least `need` requests.
+    /// Returns whether the new version has runners, is not suspect, and has finished at least
+    /// `need` requests.
     fn is_healthy(&self, now: Instant, need: u32) -> bool {
         let suspect = self.judge.suspects(now) && self.is_worse();
         self.runners > 0 && !suspect && self.served() >= need
     }
 
-    /// Whether the new version has more than its share of bad events; a shared outage affects both
-    /// versions alike.
+    /// Returns whether the new version has more than its share of bad events. An outage behind the
+    /// runners affects both versions alike.
     fn is_worse(&self) -> bool {
         let part = CANARY_SHARE.fraction() * TOLERANCE;
         let excess = |t: &Tally| f64::from(t.new) > f64::from(t.old + t.new) * part + CHANCE_EVENTS;
         self.routes.values().any(|counts| counts.bad.iter().any(excess))
     }
 
-    /// Finished requests of the new version on all nodes.
+    /// Returns the number of finished requests of the new version on all nodes.
     fn served(&self) -> u32 {
         self.routes.values().map(|c| c.new).sum()
     }
@@ -278,12 +280,12 @@
         })
     }
 
-    /// Whether a final status is stored.
+    /// Returns whether a final status is stored.
     fn is_over(&self) -> bool {
         matches!(self.recorded.1, Some(Phase::Completed | Phase::RolledBack))
     }
 
-    /// The status to be written, if it is this node's turn.
+    /// Returns the write of a status, if one is due and it is this node's turn.
     fn write(&mut self, now: Instant, rank: usize) -> Option<Action> {
         let (phase, due) = self.due(now)?;
         if self.is_over() || now < due + WRITER_STAGGER * rank as u32 || now < self.write_at {
@@ -295,7 +297,7 @@
         Some(Action::Write { status, expected: self.recorded.0 })
     }
 
-    /// The status that should be stored, and since when.
+    /// Returns the phase that should be stored, with the time since when.
     fn due(&self, now: Instant) -> Option<(Phase, Instant)> {
         match self.phase {
             Phase::Completed => None,
--- a/crates/relay/src/runner_client.rs
+++ b/crates/relay/src/runner_client.rs
@@ -25,18 +25,18 @@
     tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at},
 };
 
-/// Maximum size of a buffered response.
+/// Maximum size of a buffered response body.
 pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// Maximum size of a rejection's body that is read to reuse its connection.
+/// Maximum size of a rejection's body that is read so that its connection can be reused.
 const MAX_REJECTION_BYTES: usize = 16 << 10;
-/// Timeout for reading it.
+/// Timeout for reading the body of a rejection.
 const REJECTION_TIMEOUT: Duration = Duration::from_millis(50);
-/// Share of the latency objective after which a runner without a first event is probed.
+/// Share of the latency objective after which a runner that has sent no event is probed.
 const PROBE_AFTER_SHARE: f64 = 0.3;
 /// Probe interval.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// Generated but undelivered events after which a response counts as lost; a smaller difference may
-/// be in transit.
+/// Number of generated but undelivered events from which a response counts as lost; fewer events
+/// may still be in transit.
 const LOST_EVENT_COUNT: u32 = 8;
 /// Probe timeout.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
@@ -44,7 +44,7 @@
 const CACHE_TIMEOUT: Duration = Duration::from_millis(60);
 /// Timeout of a replication request.
 const REPLICATE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Consecutive failed probes after which a runner counts as dead.
+/// Consecutive failed probes after which a runner counts as lost.
 const MAX_FAILED_PROBES: u32 = 2;
 
 /// Outcome of a send.
@@ -53,15 +53,16 @@
     Answered(Box<Reply>),
     /// Rejected without being run.
     NotRun,
-    /// Nothing was sent.
+    /// No connection could be established, so nothing was sent.
     Unsent,
-    /// Nothing was sent: the runner leaves, wants no request for some time, or its rate limit is used up.
+    /// Nothing was sent, because the runner is draining, paused, or has no rate limit left for this
+    /// node.
     Withheld,
-    /// Sent without a response; it may have run.
+    /// Sent, but no valid response was received; the request may have run.
     Lost(SendError),
 }
 
-/// A response whose body is still to be read.
+/// A response whose body is not read yet.
 pub struct Reply {
     /// Head.
     pub parts: Parts,
@@ -69,7 +70,7 @@
     pub head: ResponseHead,
     /// Body.
     pub body: Incoming,
-    /// Connection, reusable after the body.
+    /// Connection, which can be reused after the body.
     pub connection: Connection,
 }
 
@@ -82,14 +83,14 @@
     pub network: N,
     /// Known runners.
     pub fleet: Fleet,
-    /// View published by the control thread.
+    /// Latest view published by the control thread.
     pub published: Published,
     /// Metrics.
     pub metrics: Metrics,
 }
 
 impl<D: Dialect, N: Network> RunnerClient<D, N> {
-    /// Sends a request and waits for the response head.
+    /// Sends a request, unless the runner may not get one now, and waits for the response head.
     pub async fn send(
         &self,
         call: &Call,
@@ -108,7 +109,7 @@
             self.metrics.count_limited_send(options.earlier);
         }
         let (response, connection) = match self.exchange(endpoint, request, deadline).await {
-            Ok(answered) => answered,
+            Ok(exchanged) => exchanged,
             Err(SendError::Unsent) => {
                 log::info!(request = call.head.id.as_str(), runner = endpoint.id.as_str();
                     "cannot connect to the runner");
@@ -135,12 +136,12 @@
             }
             return SendOutcome::NotRun;
         }
-        // A runner may send a surplus response, which would be read as the answer to the next
+        // A runner may send an additional response, which would be read as the response to the next
         // request on the connection.
         if !head.signed || !head.is_for(&call.head.id) {
             let status = parts.status.as_u16();
             log::warn!(request = call.head.id.as_str(), runner = endpoint.id.as_str(), status;
-                "response unsigned or for another request: connection closed");
+                "connection closed: response not signed or for another request");
             return SendOutcome::Lost(SendError::Broken);
         }
         headers::strip(&mut parts.headers);
@@ -148,8 +149,8 @@
         SendOutcome::Answered(Box::new(Reply { parts, head, body, connection }))
     }
 
-    /// Applies the backpressure signals of a response. The absence of a rate limit ends one only in the
-    /// response to a request that was run.
+    /// Applies the backpressure signals of a response: pause, drain announcement and rate limit. A
+    /// missing rate limit ends an earlier one only if the request was run.
     fn apply_signals(&self, endpoint: &Endpoint, head: &ResponseHead) {
         let is_own = (head.signed || head.not_run) && !head.misdirected;
         if let Some(time) = head.retry_after.filter(|_| head.not_run && !head.misdirected) {
@@ -198,9 +199,9 @@
         self.metrics.count_runner_bytes(part, self.fleet.is_remote(&endpoint.domain), bytes);
     }
 
-    /// Resolves when a stream without a first event should move to another runner: the runner fails
-    /// its probes, or has generated events that never arrived. Probes start early if another stream
-    /// has lost the runner.
+    /// Waits until a stream without events should be sent to another runner, because the runner
+    /// fails its probes or has generated events that did not arrive. Probing starts earlier if
+    /// another request finds the runner lost.
     pub async fn until_lost(&self, call: &Call, endpoint: &Endpoint) {
         tokio::select! {
             () = sleep(call.route.objective.mul_f64(PROBE_AFTER_SHARE)) => {}
@@ -215,7 +216,7 @@
                 None => missed += 1,
                 Some(Progress::Made(events)) if events >= LOST_EVENT_COUNT => {
                     log::info!(request = call.head.id.as_str(), runner = endpoint.id.as_str(), events;
-                        "response lost, the runner has generated events");
+                        "events generated by the runner have not arrived");
                     return;
                 }
                 Some(_) => {
@@ -226,19 +227,19 @@
         }
     }
 
-    /// Progress of a request as reported by the runner; `None` on failure.
+    /// Requests the progress of a request from its runner; `None` on failure.
     async fn progress(&self, call: &Call, endpoint: &Endpoint) -> Option<Progress> {
         let body = self.get(endpoint, self.dialect.report_path(), PROBE_TIMEOUT).await?;
         Some(self.dialect.progress(&body, &call.head.id))
     }
 
-    /// Tokens of the prompt in the runner's cache; 0 on failure.
+    /// Requests the number of the prompt's tokens in the runner's cache; 0 on failure.
     pub async fn cached_tokens(&self, endpoint: &Endpoint, prompt: u64) -> u32 {
         let head = self.get(endpoint, self.dialect.cache_path(), CACHE_TIMEOUT).await;
         head.map_or(0, |body| self.dialect.cached_tokens(&body, prompt))
     }
 
-    /// Replicates a run to another runner; returns the handle when complete.
+    /// Replicates a run to another runner and returns the handle of the complete replica.
     pub async fn replicate(
         &self,
         source: &Endpoint,
@@ -251,23 +252,22 @@
         self.dialect.replicated_handle(&head)
     }
 
-    /// Drops a replica at both ends.
+    /// Drops a replica on its source and its holder.
     pub async fn drop_replica(&self, source: &Endpoint, handle: &str) {
         let path = self.dialect.drop_replica_path(handle);
-        let forgotten =
-            self.query(source, &Method::DELETE, &path, Bytes::new(), PROBE_TIMEOUT).await;
-        if forgotten.is_none() {
-            log::debug!("a replica was not dropped and will expire");
+        let dropped = self.query(source, &Method::DELETE, &path, Bytes::new(), PROBE_TIMEOUT).await;
+        if dropped.is_none() {
+            log::debug!("cannot drop a replica; it will expire");
         }
     }
 
-    /// Identity of the runner at an address.
+    /// Requests the identity of the runner at an address.
     async fn identity(&self, endpoint: &Endpoint) -> Option<Identity> {
         let body = self.get(endpoint, self.dialect.report_path(), PROBE_TIMEOUT).await?;
         self.dialect.identity(&body)
     }
 
-    /// Sends a control request, which needs no slot.
+    /// Sends a control request, which needs no slot of the runner.
     async fn get(&self, endpoint: &Endpoint, path: &'static str, limit: Duration) -> Option<Bytes> {
         self.query(endpoint, &Method::GET, path, Bytes::new(), limit).await
     }
@@ -285,7 +285,7 @@
         }
         let path = PathAndQuery::from_str(path).ok()?;
         let request = || request(method, &path, endpoint.address, HeaderMap::new(), body.clone());
-        let asked = async {
+        let exchange = async {
             let deadline = Instant::now() + limit;
             let (response, connection) = self.exchange(endpoint, request, deadline).await.ok()?;
             let (parts, body) = response.into_parts();
@@ -298,11 +298,11 @@
             self.fleet.return_connection(endpoint.key, connection, head.idle);
             parts.status.is_success().then_some(body)
         };
-        timeout(limit, asked).await.ok()?
+        timeout(limit, exchange).await.ok()?
     }
 
-    /// Sends on an idle connection, or on a new one if the idle one was closed before any byte was
-    /// sent.
+    /// Sends a request on an idle connection, or on a new one if there is none or the idle one was
+    /// closed before the request was sent.
     async fn exchange(
         &self,
         endpoint: &Endpoint,
@@ -322,7 +322,7 @@
         Ok((response, connection))
     }
 
-    /// Drains a rejection so that its connection can be reused.
+    /// Records a rejection and reads its body, so that the connection can be reused.
     async fn finish_rejected(
         &self,
         endpoint: &Endpoint,
@@ -342,7 +342,7 @@
     }
 }
 
-/// Whether another runner may do better.
+/// Returns whether the request may succeed on another runner.
 pub fn is_failure(status: StatusCode) -> bool {
     status.is_server_error()
 }
--- a/crates/relay/src/runner_client/restart.rs
+++ b/crates/relay/src/runner_client/restart.rs
@@ -1,7 +1,7 @@
-//! Detection of engines that restarted under a new id.
+//! Detection of engines that have restarted with a new id.
 //!
-//! Addresses are reused by other services, so the runner is asked for its models; they identify it
-//! if only one service has such engines.
+//! An address may be reused by another service. The runner's models and memory are therefore
+//! requested; they identify its service if only one service has such engines.
 
 use {
     super::RunnerClient,
@@ -16,8 +16,8 @@
     tokio::time::Instant,
 };
 
-/// Checks whether runner `id`, found at the address of `endpoint`, is the same engine after a
-/// restart.
+/// Checks whether the runner `id`, found at the address of `endpoint`, is the same engine after a
+/// restart, and records the result.
 pub(super) async fn identify<D: Dialect, N: Network>(
     client: RunnerClient<D, N>,
     endpoint: Endpoint,
@@ -30,19 +30,19 @@
     let service = client.fleet.service(endpoint.key);
     let (Some(identity), Some(service)) = (identity, service) else {
         log::info!(runner = id.as_str(), former = endpoint.id.as_str();
-            "unlisted runner at a known address, identity unknown");
+            "unlisted runner at a known address: identity unknown");
         return;
     };
     let is_same = is_same(&client.published.load(), &service, &identity);
     if !is_same {
         log::info!(runner = id.as_str(), former = endpoint.id.as_str(), draining = identity.draining;
-            "unlisted runner at a known address, draining or of unknown service");
+            "unlisted runner at a known address: draining or not identified as an engine of the service");
     }
     client.fleet.record_restart(Restart { former: endpoint.id, id: is_same.then_some(id) });
 }
 
-/// Whether the identity matches `service`. Inconclusive during a rollout, since the version is
-/// unknown.
+/// Returns whether the identity matches `service` only; false during a rollout, since the version
+/// of the runner is unknown.
 fn is_same(view: &View, service: &CompactString, identity: &Identity) -> bool {
     let Some(catalog) = &view.catalog else { return false };
     let sole = catalog.sole_service(&identity.models, identity.memory);
