--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -43,9 +43,9 @@
     },
 };
 
-/// Interval of periodic work.
+/// Interval of the periodic work.
 const TICK: Duration = Duration::from_millis(50);
-/// Interval at which registrations of dead nodes are looked for.
+/// Interval at which registrations of dead nodes are cleaned up.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// State of the control thread.
@@ -55,10 +55,10 @@
     published: Published,
     drain: Drain,
     catalog: Option<Arc<Catalog>>,
-    /// The catalogue's row and its revision, for peers.
+    /// Revision and value of the catalogue's row, for peers.
     row: Option<(Revision, Bytes)>,
     registry: RunnerRegistry,
-    /// Present once this node has joined.
+    /// `None` until this node has joined.
     membership: Option<Membership>,
     sync: TableSync,
     feeds: Feeds,
@@ -68,7 +68,7 @@
     metrics: Metrics,
     rollouts: Rollouts,
     splits: Splits,
-    /// Load updates of peers, for the traffic thread.
+    /// Sends load updates of peers to the traffic thread.
     peer_reports: mpsc::UnboundedSender<PeerReport>,
     cleaned_at: Instant,
 }
@@ -91,7 +91,7 @@
     pub samples: mpsc::UnboundedReceiver<RolloutSample>,
     /// Load updates of peers.
     pub peer_reports: mpsc::UnboundedSender<PeerReport>,
-    /// Signals a request that waits for the catalogue or the runners.
+    /// Notified when a request waits for the catalogue or the runners.
     pub demand: Arc<Notify>,
     /// Metrics.
     pub metrics: Metrics,
@@ -183,7 +183,8 @@
         self.tick();
     }
 
-    /// Reads the tables directly: a request waits for them, so the readers' updates come too late.
+    /// Reads the tables directly if they are not loaded yet, because a request waits for them and
+    /// the updates of the readers would arrive too late.
     fn load_now(&mut self) {
         if self.catalog.is_none() || !self.registry.is_loaded() {
             self.feeds.load_once();
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Deletes registrations of dead nodes, as the first reader of the domain.
+    /// Deletes registrations of dead nodes if this node is the first reader of its failure domain.
     fn clean_up(&mut self, now: Instant) {
         if now < self.cleaned_at + CLEANUP_INTERVAL {
             return;
--- a/crates/relay/src/control/authority.rs
+++ b/crates/relay/src/control/authority.rs
@@ -1,7 +1,7 @@
-//! The certificate authority of the nodes.
+//! Certificate authority of the nodes.
 //!
-//! It is kept in the store and created by the first node. Certificates authenticate nodes on the
-//! network; they do not protect against users of the store.
+//! It is stored in the store and created by the first node. Certificates authenticate nodes on the
+//! network; they give no protection against users of the store, who can read the private key.
 
 use {
     rcgen::{
@@ -14,7 +14,7 @@
 /// A result with a certificate error.
 pub(super) type Result<T> = std::result::Result<T, rcgen::Error>;
 
-/// Certificate and private key of the authority, PEM.
+/// Certificate and private key of the authority, in PEM format.
 #[derive(Clone)]
 #[derive(Deserialize, Serialize)]
 pub(super) struct Authority {
@@ -22,20 +22,20 @@
     key: String,
 }
 
-/// Certificate and private key of a node, PEM.
+/// Certificate and private key of a node, in PEM format.
 pub(super) struct Identity {
     pub(super) certificate: String,
     pub(super) key: String,
 }
 
 impl Authority {
-    /// A new authority.
+    /// Creates a new authority with a self-signed certificate.
     pub(super) fn create() -> Result<Authority> {
         let issuer = CertifiedIssuer::self_signed(params(), KeyPair::generate()?)?;
         Ok(Authority { certificate: issuer.pem(), key: issuer.key().serialize_pem() })
     }
 
-    /// Decodes a stored authority; `None` if it is unusable.
+    /// Decodes a stored authority; `None` if it is invalid.
     pub(super) fn parse(value: &[u8]) -> Option<Authority> {
         let authority: Authority = serde_json::from_slice(value).ok()?;
         authority.issuer().is_ok().then_some(authority)
@@ -59,7 +59,7 @@
     }
 }
 
-/// Parameters of the authority's certificate.
+/// Returns the parameters of the authority's certificate.
 fn params() -> CertificateParams {
     let mut params = CertificateParams::default();
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
--- a/crates/relay/src/control/catalog.rs
+++ b/crates/relay/src/control/catalog.rs
@@ -1,4 +1,4 @@
-//! Applies the operators' rows.
+//! Application of the operators' rows.
 
 use {
     super::Control,
@@ -22,11 +22,11 @@
         }
     }
 
-    /// Applies a catalogue from the store or a peer. Only a newer one is applied, because responses
-    /// may be reordered.
+    /// Applies a catalogue from the store or a peer if it is newer than the current one, since
+    /// responses may arrive out of order.
     pub(super) fn apply_catalog(&mut self, row: &Row) {
         let Some(value) = &row.value else { return };
-        if self.row.as_ref().is_some_and(|(held, _)| row.revision <= *held) {
+        if self.row.as_ref().is_some_and(|(current, _)| row.revision <= *current) {
             return;
         }
         match self.records.parse_catalog(value) {
@@ -45,6 +45,6 @@
     }
 
     fn is_newer(&self, catalog: &Catalog) -> bool {
-        self.catalog.as_ref().is_none_or(|held| catalog.version > held.version)
+        self.catalog.as_ref().is_none_or(|current| catalog.version > current.version)
     }
 }
--- a/crates/relay/src/control/feed.rs
+++ b/crates/relay/src/control/feed.rs
@@ -1,4 +1,4 @@
-//! Watches tables of the store.
+//! Watchers of tables in the store.
 
 use {
     crate::{
@@ -16,17 +16,17 @@
 
 /// Initial backoff; doubles with each failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
-/// Maximum backoff of the watcher that detects the store's return.
+/// Maximum backoff of the watcher that detects the end of a store outage.
 pub const PROBE_BACKOFF_MAX: Duration = Duration::from_millis(800);
-/// Maximum backoff of all others, which are notified of it. They keep polling, because the store may
-/// reject a single table only.
+/// Maximum backoff of all other watchers, which are notified of the end. They poll as well, because
+/// the store may reject a single table only.
 pub const STANDBY_BACKOFF_MAX: Duration = Duration::from_millis(3_200);
 
-/// Age from which a pending poll is abandoned once another poll succeeds after an outage. A silent
-/// store never responds to it, and its timeout is long.
+/// Age from which a pending poll is abandoned if another poll succeeds after an outage. A store
+/// that dropped the request never responds to it, and the timeout of a poll is long.
 const STALE_POLL_AGE: Duration = Duration::from_millis(500);
 
-/// An event of a table.
+/// Event of a watched table.
 #[derive(Clone, Debug)]
 pub struct FeedEvent<T> {
     /// Table.
@@ -38,17 +38,17 @@
 /// Change of a table.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// Complete contents.
+    /// Complete contents of the table.
     Snapshot(Rows),
     /// Changed rows.
     Rows(Rows),
-    /// The store became unavailable.
+    /// The store has become unavailable.
     Unavailable,
-    /// The store became available.
+    /// The store has become available again.
     Available,
 }
 
-/// Watches one table while it is active.
+/// Watcher that polls one table while it is active.
 pub struct FeedWatcher<S, T> {
     /// Store.
     pub store: S,
@@ -58,7 +58,7 @@
     pub table: T,
     /// Minimum interval of polls.
     pub min_interval: Duration,
-    /// Long-poll wait; may change.
+    /// Long-poll wait; may change at any time.
     pub wait: Rc<Cell<Duration>>,
     /// Maximum backoff.
     pub max_backoff: Duration,
@@ -66,7 +66,7 @@
     pub active: watch::Receiver<bool>,
     /// Revision up to which the table is known, if it is; may be advanced by others.
     pub revision: Rc<Cell<Option<Revision>>>,
-    /// Counts the store's returns, as seen by any watcher.
+    /// Number of outages whose end any watcher has detected.
     pub recoveries: watch::Sender<u32>,
     /// Metrics.
     pub metrics: Metrics,
@@ -75,7 +75,7 @@
 impl<S: Store, T: Copy> FeedWatcher<S, T> {
     /// Sends events until the receiver is dropped.
     pub async fn run(mut self, sender: mpsc::Sender<FeedEvent<T>>) {
-        // The sender of `active` lives as long as the control thread.
+        // The sender of `active` exists as long as the control thread.
         while self.active.wait_for(|active| *active).await.is_ok() {
             let mut active = self.active.clone();
             tokio::select! {
@@ -85,15 +85,15 @@
         }
     }
 
-    /// Polls until the receiver is dropped. The first poll does not wait for changes: it tells
-    /// whether the store is available.
+    /// Polls until the receiver is dropped. The first poll does not wait for changes, so that its
+    /// response shows whether the store is available.
     async fn watch(&self, sender: &mpsc::Sender<FeedEvent<T>>) {
         let mut failures = 0;
         let mut first = true;
         let mut recoveries = self.recoveries.subscribe();
         loop {
             recoveries.mark_unchanged();
-            let asked = Instant::now();
+            let poll_start = Instant::now();
             let wait = if first || failures > 0 { Duration::ZERO } else { self.wait.get() };
             let Some(response) = self.poll_unless_stale(wait).await else { continue };
             first = false;
@@ -104,13 +104,13 @@
                 }
             }
             match failures {
-                0 => sleep_until(asked + self.min_interval).await,
+                0 => sleep_until(poll_start + self.min_interval).await,
                 failures => self.back_off(failures, &mut recoveries).await,
             }
         }
     }
 
-    /// Evaluates a response and counts consecutive failures.
+    /// Evaluates a response, and counts consecutive failures.
     fn changes(&self, response: Result<Rows>, failures: &mut u32) -> Vec<Change> {
         let mut changes = Vec::new();
         if response.is_ok() && *failures > 0 {
@@ -139,22 +139,22 @@
         changes
     }
 
-    /// Backs off after a failure, or until another watcher has found the store available.
+    /// Waits for the backoff after a failure, or until another watcher finds the store available.
     async fn back_off(&self, failures: u32, recoveries: &mut watch::Receiver<u32>) {
         tokio::select! {
             () = sleep(backoff(failures, self.max_backoff)) => {}
-            // The sender lives as long as `self`.
+            // The sender exists as long as `self`.
             _ = recoveries.changed() => {}
         }
     }
 
-    /// Polls the store; `None` if another watcher found it back from an outage that may have
-    /// swallowed the poll.
+    /// Polls the store; `None` if the poll is old and another watcher has detected the end of an
+    /// outage since, in which the poll may have been lost.
     async fn poll_unless_stale(&self, wait: Duration) -> Option<Result<Rows>> {
         let mut recoveries = self.recoveries.subscribe();
         let stale = async {
             sleep(STALE_POLL_AGE).await;
-            // The sender lives as long as `self`.
+            // The sender exists as long as `self`.
             _ = recoveries.changed().await;
         };
         tokio::select! {
@@ -180,7 +180,8 @@
     }
 }
 
-/// Jitter, so that nodes do not return all at once.
+/// Returns the backoff after a number of failures, with jitter so that nodes do not poll at the
+/// same time.
 fn backoff(failures: u32, max_backoff: Duration) -> Duration {
     let backoff = BACKOFF_MIN * 2u32.saturating_pow(failures.min(8) - 1);
     backoff.min(max_backoff).mul_f64(rand::rng().random_range(0.5..1.0))
--- a/crates/relay/src/control/feeds.rs
+++ b/crates/relay/src/control/feeds.rs
@@ -1,4 +1,4 @@
-//! The watchers of all tables.
+//! Watchers of all tables.
 
 use {
     super::{
@@ -17,21 +17,23 @@
     tokio::sync::{Notify, mpsc, watch},
 };
 
-/// Long-poll wait for operators' rows; bounds the detection of a lost response.
+/// Long-poll wait for operators' rows; limits the time until a lost response is detected.
 const OPERATORS_WAIT: Duration = Duration::from_secs(5);
-/// Minimum long-poll wait for runner registrations; bounds the detection of a silent outage.
+/// Minimum long-poll wait for runner registrations; limits the time until an outage without error
+/// responses is detected.
 const RUNNERS_WAIT_MIN: Duration = Duration::from_secs(1);
-/// Added to that wait per reader, so that the total poll rate is independent of their number.
+/// Long-poll wait per reader of the whole system, so that the total poll rate does not depend on
+/// their number.
 const RUNNERS_WAIT_READER: Duration = Duration::from_millis(400);
 /// Maximum long-poll wait for runner registrations.
 const RUNNERS_WAIT_MAX: Duration = Duration::from_secs(5);
-/// Long-poll wait for rows that gossip carries too, or that change rarely.
+/// Long-poll wait for rows that are also distributed by gossip, or that change rarely.
 const RARE_WAIT: Duration = Duration::from_secs(30);
-/// Minimum interval of polls for node registrations, so that nodes starting together do not fetch
-/// each other's rows one by one.
+/// Minimum interval of polls for node registrations, so that nodes that start at the same time do
+/// not fetch each other's rows one by one.
 const NODES_INTERVAL: Duration = Duration::from_secs(2);
-/// Interval of polls for runner registrations, as a share of the time in which a draining runner
-/// must get no new requests. The rest is for a poll that has to be repeated.
+/// Minimum interval of polls for runner registrations, as a share of the time within which new
+/// requests to a draining runner must stop. The rest is reserved for repeating a failed poll.
 const RUNNERS_SHARE: f64 = 0.45;
 /// Capacity of the event channel.
 const EVENTS: usize = 64;
@@ -39,19 +41,19 @@
 /// A watched table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchedTable {
-    /// Replicated within the failure domain.
+    /// Table that is replicated within the failure domain.
     Replicated(TableId),
-    /// Registrations of nodes; gossip replicates them.
+    /// Registrations of nodes, which are replicated by gossip.
     Nodes,
 }
 
-/// A table read ahead of the replication.
+/// Contents of a table that was read directly, before the replication provides it.
 pub(super) struct Loaded {
     pub(super) table: TableId,
     pub(super) rows: Result<Rows>,
 }
 
-/// Control of the watchers.
+/// Handles that control the watchers.
 pub(super) struct Feeds {
     /// Whether the operators' table is polled.
     polling: watch::Sender<bool>,
@@ -64,7 +66,7 @@
 }
 
 impl Feeds {
-    /// Starts the watchers, which are inactive at first.
+    /// Starts the watchers, which do not poll before [`Feeds::set_active`].
     pub(super) fn start<R: Records, S: Store>(
         settings: &Settings,
         store: &S,
@@ -121,15 +123,15 @@
         (feeds, events, loaded)
     }
 
-    /// Reads the tables that requests need, once.
+    /// Reads once each table that is needed to serve requests.
     pub(super) fn load_once(&self) {
         self.load.notify_waiters();
     }
 
-    /// Starts or stops polling. Feeds continue where the replicated tables are known.
+    /// Starts or stops polling. Feeds resume from the revisions of the replicated tables.
     pub(super) fn set_active(&self, sync: &TableSync) {
         if *self.polling.borrow() != sync.is_polling() {
-            log::info!(active = sync.is_polling(); "polling of the store switched");
+            log::info!(active = sync.is_polling(); "polling of the store started or stopped");
         }
         self.switch(&self.polling, sync.is_polling(), &[TableId::Operators], sync);
         let others = [TableId::Runners, TableId::Statuses];
@@ -146,12 +148,13 @@
         active.send_replace(to);
     }
 
-    /// Sets where the feed of node registrations continues.
+    /// Sets the revision from which the feed of node registrations resumes.
     pub(super) fn set_nodes_revision(&self, revision: Revision) {
         self.nodes_revision.set(Some(revision));
     }
 
-    /// Adapts the poll rate to the number of readers of the whole system.
+    /// Adapts the long-poll wait for runner registrations to the number of readers of the whole
+    /// system.
     pub(super) fn set_readers(&self, readers: usize) {
         let wait = RUNNERS_WAIT_READER.mul_f64(readers as f64);
         self.runners_wait.set(wait.clamp(RUNNERS_WAIT_MIN, RUNNERS_WAIT_MAX));
--- a/crates/relay/src/control/gossip.rs
+++ b/crates/relay/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Messages from and to peers.
+//! Exchange of messages with peers.
 
 use {
     super::Control,
@@ -64,11 +64,11 @@
 
     fn forward_load(&mut self, from: CompactString, load: Load) {
         self.adopt_restarts(&load.restarts);
-        // The receiver lives as long as the process.
+        // The receiver exists as long as the process.
         _ = self.peer_reports.send(PeerReport { from, load });
     }
 
-    /// Applies restarts found by this node or a peer.
+    /// Applies restarts of runners found by this node or a peer.
     fn adopt_restarts(&mut self, restarts: &[Restart]) {
         let settled = self.sync.is_settled(Instant::now());
         if !restarts.is_empty() && self.registry.adopt_restarts(restarts, settled) {
@@ -76,11 +76,12 @@
         }
     }
 
-    /// Forwards failures reported by gossip, which does not name the reporter.
+    /// Forwards failures of runners received by gossip to the traffic thread; gossip does not
+    /// include the reporting node.
     pub(super) fn forward_failures(&self, failed: Vec<CompactString>) {
         if !failed.is_empty() {
             let load = Load { failed, ..Load::default() };
-            // The receiver lives as long as the process.
+            // The receiver exists as long as the process.
             _ = self.peer_reports.send(PeerReport { from: CompactString::default(), load });
         }
     }
--- a/crates/relay/src/control/join.rs
+++ b/crates/relay/src/control/join.rs
@@ -1,4 +1,4 @@
-//! Joining the system: certificate, peer transport and registration.
+//! Joining of the system: certificate, peer transport and registration.
 
 use {
     super::{
@@ -17,40 +17,41 @@
     tokio::{sync::mpsc, time::sleep},
 };
 
-/// Table of the nodes' registrations and of their certificate authority. One table, so that a
-/// starting node reads everything with one call.
+/// Table of the nodes' registrations and their certificate authority. It is one table, so that a
+/// starting node can read everything with one call.
 pub(super) const TABLE: &str = "bilberryfront";
 /// Key of the certificate authority.
 const AUTHORITY: &str = "authority";
 /// Prefix of the keys of node registrations, followed by the node's name.
 const NODE: &str = "node/";
-/// Delay before a failed call is retried; up to twice as much at random.
+/// Minimum delay before a failed call is retried; the maximum is twice as long.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Time over which nodes spread when all start for the first time: they create the authority and
-/// register, and the store limits the rate of writes to a table.
+/// Time over which the nodes are spread at the first start of the whole system: they create the
+/// authority and register, and the store limits the rate of writes to a table.
 const START_SPREAD: Duration = Duration::from_millis(1_500);
-/// Time after its registration within which nodes that started with a new one are known.
+/// Time after the registration of a new node until nodes that started with it are registered and
+/// known as well.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
 /// Progress of joining.
 pub(super) enum Progress {
     /// The store is unavailable; joining continues.
     Unavailable,
-    /// The transport is started.
+    /// The peer transport has started.
     Joined(Box<Joined>, Listing),
-    /// Nodes that started with this one are registered too.
+    /// Nodes that started at the same time are registered as well.
     Settled,
 }
 
-/// The table of the nodes at the start.
+/// Contents of the nodes' table at the start.
 pub(super) struct Listing {
     /// Rows.
     pub(super) rows: Rows,
-    /// Whether this node was registered already, and with it most of the others.
+    /// Whether this node was registered before, and therefore most of the others too.
     pub(super) complete: bool,
 }
 
-/// Joins, however long that takes.
+/// Joins the system; calls to the store are retried until they succeed.
 pub(super) async fn join<S: Store>(
     settings: Settings,
     store: S,
@@ -66,7 +67,7 @@
             Err(StoreError::Conflict) => {}
             Err(error) => {
                 log::warn!(table = TABLE; "cannot read the certificate authority: {error}");
-                // The control thread ends only when the node has drained.
+                // The control thread ends only after the node has drained.
                 _ = progress.send(Progress::Unavailable).await;
                 sleep(retry_delay()).await;
             }
@@ -91,17 +92,17 @@
     RETRY_DELAY.mul_f64(rand::rng().random_range(1.0..2.0))
 }
 
-/// Address in a row of the table; `None` if the row is no registration of a node.
+/// Parses the registration of a node in a row of the table; `None` if it is not one.
 pub(super) fn parse_node_address(row: &Row) -> Option<NodeAddress> {
     serde_json::from_slice(row.value.as_ref()?).ok()
 }
 
-/// Name of the node that a key stands for.
+/// Returns the node's name in the key of a registration; `None` for other keys.
 pub(super) fn node_name(key: &str) -> Option<&str> {
     key.strip_prefix(NODE)
 }
 
-/// Deletes registrations of nodes that have been dead for long.
+/// Deletes the registrations of nodes that have been dead for a long time.
 pub(super) async fn unregister<S: Store>(store: S, names: Vec<CompactString>) {
     let delete = |name: &CompactString| Write {
         table: TABLE.into(),
@@ -115,14 +116,14 @@
     }
 }
 
-/// Reads the table with the authority in it, or creates the authority.
+/// Reads the table of the nodes, and creates the authority if there is none.
 async fn load_authority<S: Store>(store: &S) -> Result<(Authority, Rows), StoreError> {
     let rows = store.read(TABLE).await?;
     let row = rows.rows.iter().find(|r| r.key == AUTHORITY);
     if let Some(authority) = row.and_then(|r| Authority::parse(r.value.as_deref()?)) {
         return Ok((authority, rows));
     }
-    let authority = Authority::create().expect("a new key signs its own certificate");
+    let authority = Authority::create().expect("a new key can sign its own certificate");
     let write = Write {
         table: TABLE.into(),
         key: AUTHORITY.into(),
--- a/crates/relay/src/control/members.rs
+++ b/crates/relay/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Membership: the other nodes and the messages exchanged with them.
+//! Membership: the other nodes, and the messages exchanged with them.
 
 mod send;
 
@@ -33,14 +33,14 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// Time after the start for which registered nodes without a heartbeat are ranked as readers.
+/// Time after the start in which registered nodes without a heartbeat are ranked as readers.
 const RANK_UNSEEN_PERIOD: Duration = Duration::from_secs(3);
-/// Time for which a node must be dead before its registration is deleted.
+/// Time after which the registration of a dead node is deleted.
 const RETENTION: Duration = Duration::from_secs(600);
-/// Scheme of callers' addresses in the membership.
+/// Scheme of the URLs for callers in the membership.
 const SCHEME: &str = "http://";
 
-/// A started transport with its membership.
+/// Started transport with its membership.
 pub(super) struct Joined {
     pub(super) membership: Membership,
     pub(super) events: mpsc::Receiver<Received>,
@@ -55,29 +55,29 @@
     start: Instant,
     metrics: Metrics,
     draining: bool,
-    /// Whether the set of nodes changed since it was last read.
+    /// Whether the nodes have changed since they were last read.
     changed: bool,
-    /// Whether registered nodes without a heartbeat are in the ranking.
+    /// Whether registered nodes without a heartbeat are part of the ranking.
     ranks_unseen: bool,
     routes: Routes,
-    /// Since when nodes have been dead.
+    /// Time at which each dead node was detected as dead.
     dead: BTreeMap<CompactString, Instant>,
     scope: Scope,
 }
 
-/// What the control thread derives from the membership.
+/// State that the control thread derives from the membership.
 pub(super) struct Nodes {
     /// Nodes for address responses.
     pub(super) ready: Vec<NodeAddress>,
-    /// Nodes of the own failure domain by rank.
+    /// Nodes of this node's failure domain by rank.
     pub(super) ranking: Ranking,
     /// Number of failure domains.
     pub(super) domains: usize,
-    /// Which loads this node knows.
+    /// Runners whose load this node knows.
     pub(super) scope: Scope,
 }
 
-/// Starts the transport with a certificate of the authority.
+/// Starts the peer transport with a certificate signed by the authority.
 pub(super) fn listen(
     settings: &Settings,
     authority: &Authority,
@@ -137,8 +137,8 @@
     }
 
     /// Applies registrations of nodes.
-    pub(super) fn apply_registrations(&mut self, rows: &Rows, whole: bool) {
-        if whole {
+    pub(super) fn apply_registrations(&mut self, rows: &Rows, is_snapshot: bool) {
+        if is_snapshot {
             self.listed.clear();
         }
         for row in &rows.rows {
@@ -154,7 +154,7 @@
         self.changed = true;
     }
 
-    /// Performs periodic work; returns runners reported as failed.
+    /// Performs due work; returns the runners that were reported as failed.
     pub(super) fn tick(
         &mut self,
         now: Instant,
@@ -172,7 +172,7 @@
         failed
     }
 
-    /// Handles a peer event; returns runners reported as failed.
+    /// Handles a peer event; returns the runners that were reported as failed.
     pub(super) fn receive(
         &mut self,
         now: Instant,
@@ -189,7 +189,7 @@
         self.carry_out(out, row)
     }
 
-    /// The nodes, if they changed since the last call.
+    /// Returns the derived state if the nodes have changed since the last call.
     pub(super) fn changed_nodes(&mut self, now: Instant) -> Option<Nodes> {
         let unseen = now < self.start + RANK_UNSEEN_PERIOD;
         let expired = std::mem::replace(&mut self.ranks_unseen, unseen) && !unseen;
@@ -236,7 +236,8 @@
         self.members.addresses().into_iter().filter_map(node).collect()
     }
 
-    /// Registered nodes of the own failure domain that have been dead for long.
+    /// Takes the registered nodes of this node's failure domain that have been dead for
+    /// [`RETENTION`].
     pub(super) fn stale_registrations(&mut self, now: Instant) -> Vec<CompactString> {
         let is_stale = |(name, since): &(&CompactString, &Instant)| {
             let local = self.listed.get(*name).is_some_and(|node| node.domain == self.me.domain);
@@ -248,7 +249,7 @@
         stale
     }
 
-    /// Name of this node.
+    /// Returns the name of this node.
     pub(super) fn name(&self) -> &CompactString {
         &self.me.name
     }
@@ -318,8 +319,8 @@
     }
 }
 
-/// Milliseconds since the Unix epoch. Orders incarnations only; the membership repairs a clock that
-/// was set back.
+/// Returns the time in milliseconds since the Unix epoch. It only orders incarnations, and the
+/// membership corrects the effect of a clock that was set back.
 fn unix_millis() -> u64 {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     time.unwrap_or_default().as_millis() as u64
--- a/crates/relay/src/control/members/send.rs
+++ b/crates/relay/src/control/members/send.rs
@@ -1,4 +1,4 @@
-//! Sending to other nodes.
+//! Sending of messages to other nodes.
 
 use {
     super::Membership,
@@ -15,9 +15,11 @@
     tokio::time::Instant,
 };
 
-/// Maximum number of nodes for which messages are sent to all; above it, to heartbeat targets.
+/// Maximum number of other nodes up to which broadcasts are sent to all of them; above it, they are
+/// sent to the heartbeat targets.
 const FULL_MESH_LIMIT: usize = 100;
-/// Maximum age of [`Routes`] while no node changes its state; a node may change its address.
+/// Maximum age of [`Routes`] while no node changes its state, since a node may still change its
+/// address.
 const MAX_ROUTES_AGE: Duration = Duration::from_millis(250);
 
 /// Receivers of this node's messages.
@@ -26,12 +28,12 @@
     /// Running nodes.
     peers: Vec<Peer>,
     fanout: Fanout,
-    /// Relays in a large system.
+    /// Relays, used in a large system.
     groups: GroupRelays,
 }
 
 impl Routes {
-    /// No receivers yet.
+    /// Creates the state without any receivers.
     pub(super) fn new(start: Instant) -> Routes {
         Routes {
             at: start,
@@ -41,14 +43,14 @@
         }
     }
 
-    /// Whether they should be computed anew.
+    /// Returns whether the receivers should be recomputed.
     pub(super) fn are_stale(&self, now: Instant) -> bool {
         now >= self.at + MAX_ROUTES_AGE
     }
 }
 
 impl Membership {
-    /// Computes the receivers of messages anew.
+    /// Recomputes the receivers of messages.
     pub(super) fn update_routes(&mut self, now: Instant) {
         let peers = self.running_peers();
         let epoch = fanout::epoch(self.start, now);
@@ -60,7 +62,8 @@
         self.routes = Routes { at: now, peers, fanout, groups };
     }
 
-    /// Sends a message to all nodes, or to the heartbeat targets above [`FULL_MESH_LIMIT`].
+    /// Sends a message to all other nodes, or to the heartbeat targets if there are more than
+    /// [`FULL_MESH_LIMIT`].
     pub(in crate::control) fn broadcast(&self, message: &PeerMessage) {
         let peers = &self.routes.peers;
         let to = match peers.len() {
@@ -70,7 +73,7 @@
         self.send(&to, message);
     }
 
-    /// Sends a message to all nodes of the own failure domain.
+    /// Sends a message to all other nodes of this node's failure domain.
     pub(in crate::control) fn broadcast_local(&self, message: &PeerMessage) {
         self.send(&self.routes.fanout.local, message);
     }
@@ -98,8 +101,8 @@
         }
     }
 
-    /// Sends a load update to the nodes that know these runners. `domain` is the failure domain of a
-    /// runner.
+    /// Sends a load update to the nodes whose scope contains its runners. `domain` returns the
+    /// failure domain of a runner.
     pub(in crate::control) fn send_load<'a>(
         &self,
         load: &Load,
@@ -117,8 +120,8 @@
         relays.iter().for_each(|relay| self.send_relayed(&relay.target, load.clone()));
     }
 
-    /// Sends loads to the groups of their runners, what runners advertise to all nodes, and the rest to
-    /// the own group.
+    /// Sends each runner's load to the runner's group, rate limits and drain notices to all nodes,
+    /// and the rest to this node's group.
     fn send_to_groups<'a>(&self, load: Load, domain: impl Fn(&str) -> Option<&'a CompactString>) {
         let Load { runners, failed, restarts, budgets, limits, draining } = load;
         let advertised = Load { limits, draining, ..Load::default() };
@@ -133,7 +136,8 @@
             self.send(&self.group(), &PeerMessage::Load(own));
         }
         let mut relayed = BTreeMap::<&CompactString, (&Target, Load)>::new();
-        // Replicas elsewhere are not reported: they delay no other request.
+        // Replicas on runners of other groups are not reported, since they do not delay other
+        // requests.
         for load in others.into_iter().filter(|load| load.running > 0) {
             let relay = domain(&load.runner)
                 .and_then(|domain| self.routes.groups.relay(domain, &load.runner));
@@ -146,7 +150,7 @@
         relayed.into_values().for_each(|(relay, load)| self.send_relayed(relay, load));
     }
 
-    /// The other nodes of the own group.
+    /// Returns the other nodes of this node's group.
     fn group(&self) -> Vec<Target> {
         let local = self.routes.fanout.local.iter();
         local.filter(|peer| self.scope.includes(&peer.name)).cloned().collect()
@@ -157,8 +161,8 @@
         self.send(std::slice::from_ref(relay), &PeerMessage::RelayedLoad(relayed));
     }
 
-    /// Forwards a relayed update: what runners advertise to this failure domain, loads to the nodes of it
-    /// that know them.
+    /// Forwards a relayed update: rate limits and drain notices to all nodes of this failure
+    /// domain, loads to the nodes whose scope contains the runners.
     pub(in crate::control) fn relay_load(&self, relayed: &RelayedLoad) {
         if !relayed.forward {
             return;
--- a/crates/relay/src/control/registry.rs
+++ b/crates/relay/src/control/registry.rs
@@ -8,18 +8,19 @@
     tokio::time::Instant,
 };
 
-/// Time after an outage within which a restarted runner re-registers.
+/// Time after an outage of the store within which a restarted runner registers again.
 const REREGISTER_TIME: Duration = Duration::from_millis(2_500);
 
 /// All registrations.
 ///
-/// Registrations expire while the store is unavailable, although the runners are up. Entries that
-/// disappear around an outage are therefore kept until the runners had time to re-register.
+/// Registrations expire while the store is unavailable, although the runners are running. Entries
+/// that are removed during or shortly after an outage are therefore kept until the runners have had
+/// time to register again.
 #[derive(Debug, Default)]
 pub struct RunnerRegistry {
     entries: BTreeMap<CompactString, Entry>,
     published: Option<Arc<Vec<Registration>>>,
-    /// Whether any entry may be missing or adopted.
+    /// Whether any entry may be `Missing` or `Adopted`.
     unsettled: bool,
 }
 
@@ -29,34 +30,35 @@
     presence: Presence,
 }
 
-/// Whether a runner is registered.
+/// Registration state of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
-    /// It is.
+    /// The runner is registered.
     Listed,
-    /// It is not, but counts as registered up to this time.
+    /// The runner is not registered, but its entry is kept until this time.
     Missing(Instant),
-    /// It restarted during an outage of the store and has not been able to register.
+    /// The runner has restarted during an outage of the store and could not register yet.
     Adopted,
 }
 
 impl RunnerRegistry {
-    /// Current registrations.
+    /// Returns the current registrations.
     pub fn runners(&self) -> Arc<Vec<Registration>> {
         self.published.clone().unwrap_or_default()
     }
 
-    /// Whether a list was ever loaded.
+    /// Returns whether a list of registrations has been loaded.
     pub fn is_loaded(&self) -> bool {
         self.published.is_some()
     }
 
-    /// Failure domain of a runner.
+    /// Returns the failure domain of a runner.
     pub fn domain(&self, id: &str) -> Option<&CompactString> {
         self.entries.get(id).map(|entry| &entry.registration.domain)
     }
 
-    /// Applies changed rows; returns whether anything changed. Removed entries are kept for `grace`.
+    /// Applies changed rows; returns whether anything changed. Removed entries are kept for
+    /// `grace`.
     pub fn update<R: Records>(
         &mut self,
         now: Instant,
@@ -68,8 +70,9 @@
         self.publish()
     }
 
-    /// Removes entries that did not return in time; returns whether there were any. `settled` tells
-    /// whether the store is available and all live runners are registered there.
+    /// Removes entries whose runners did not register again in time; returns whether there were
+    /// any. `settled` is true if the store is available and all running runners are registered
+    /// there.
     pub fn remove_expired(&mut self, now: Instant, settled: bool) -> bool {
         if !self.unsettled {
             return false;
@@ -81,21 +84,21 @@
         }
         let before = self.entries.len();
         self.entries.retain(|id, entry| {
-            let gone = matches!(entry.presence, Presence::Missing(until) if now >= until);
-            if gone {
-                log::info!(runner = id.as_str(); "runner did not return after the outage");
+            let expired = matches!(entry.presence, Presence::Missing(until) if now >= until);
+            if expired {
+                log::info!(runner = id.as_str(); "runner did not register again after the store outage: removed");
             }
-            !gone
+            !expired
         });
         self.unsettled = self.entries.values().any(|entry| entry.presence != Presence::Listed);
         before != self.entries.len() && self.publish()
     }
 
-    /// Replaces entries of runners that restarted under new ids during an outage, or removes them if
-    /// the new incarnation cannot be used; returns whether anything changed.
+    /// Replaces entries of runners that have restarted with new ids during an outage, or removes
+    /// them if the new incarnation cannot be used; returns whether anything changed.
     ///
-    /// The store cannot report this meanwhile, and requests for the old ids are rejected at the cost
-    /// of a retry. With a `settled` store the registrations alone count.
+    /// During an outage the store does not report these restarts, and each request to an old id is
+    /// rejected and costs a retry. If the registrations are `settled`, restarts are ignored.
     pub fn adopt_restarts(&mut self, restarts: &[Restart], settled: bool) -> bool {
         if settled {
             return false;
@@ -110,7 +113,7 @@
         if self.entries.contains_key(&id) {
             return;
         }
-        // Ranks before the former incarnation, and after whatever registers at the address.
+        // Newer than the former incarnation, and older than any later registration at the address.
         let born = former.registration.born + 1;
         let former = former.registration.clone();
         let registration = Registration { id: id.clone(), born, assumed: true, ..former };
@@ -126,7 +129,7 @@
         match records.parse_registration(&row.key, value) {
             Ok(registration) => self.register(registration),
             Err(error) => {
-                // Not written by a runner.
+                // The row was not written by a runner.
                 log::warn!(runner = row.key.as_str(); "invalid registration: {error}");
                 self.entries.remove(&row.key);
             }
@@ -169,8 +172,9 @@
     }
 }
 
-/// Drops runners whose address belongs to a newer registration. The entry of a restarted runner
-/// stays until it expires, and requests for the old id would be rejected.
+/// Returns the registrations without those whose address has a newer registration. The registration
+/// of a restarted runner's former incarnation exists until it expires, and requests to the old id
+/// would be rejected.
 fn without_replaced<'a>(
     entries: impl Iterator<Item = &'a Registration> + Clone,
 ) -> Vec<Registration> {
--- a/crates/relay/src/control/rollouts.rs
+++ b/crates/relay/src/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! Drives the rollouts.
+//! Advances the rollouts and carries out their actions.
 
 use {
     super::{Control, members::Membership},
@@ -28,7 +28,7 @@
         let rank = names.iter().position(|n| Some(*n) == name).unwrap_or(names.len());
         for action in self.rollouts.tick(Instant::now(), rank, names.len()) {
             match action {
-                Action::Broadcast(news) => self.broadcast_rollout(news),
+                Action::Broadcast(update) => self.broadcast_rollout(update),
                 Action::Write { status, expected } => {
                     let (key, value) = self.records.encode_status(&status);
                     let table = R::STATUS.into();
@@ -45,9 +45,9 @@
         }
     }
 
-    fn broadcast_rollout(&self, news: PeerNews) {
+    fn broadcast_rollout(&self, update: PeerNews) {
         if let Some(membership) = &self.membership {
-            membership.broadcast(&PeerMessage::Move(news));
+            membership.broadcast(&PeerMessage::Move(update));
         }
     }
 
--- a/crates/relay/src/control/tables.rs
+++ b/crates/relay/src/control/tables.rs
@@ -1,4 +1,4 @@
-//! Applies replicated tables and carries out the replication's actions.
+//! Application of replicated tables, and execution of the replication's actions.
 
 use {
     super::{
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Applies a table that was read ahead of the replication.
+    /// Applies a table that was read directly.
     pub(super) fn apply_loaded(&mut self, Loaded { table, rows }: Loaded) {
         match rows {
             Ok(rows) => {
@@ -68,7 +68,7 @@
         self.carry_out(out);
     }
 
-    /// Handles a peer's message about the tables.
+    /// Handles a message from a peer about the replicated tables.
     pub(super) fn sync_with(&mut self, from: &CompactString, message: PeerMessage) {
         let mut out = Vec::new();
         self.sync.on_message(Instant::now(), from, message, &mut out);
--- a/crates/relay/src/fanout.rs
+++ b/crates/relay/src/fanout.rs
@@ -1,10 +1,11 @@
 //! Fan-out of load updates.
 //!
-//! In a small system every node knows the load of every runner: an update goes to the nodes of the
-//! own failure domain, and through one relay to each other domain, so that it crosses each border
-//! once. In a large one the nodes and runners of a domain are divided into groups, and the load of a
-//! runner goes to the nodes of its group, through one relay if that is another group, so that the
-//! messages and connections of a node do not grow with its domain.
+//! In a small system every node knows the load of every runner: an update is sent to the nodes of
+//! the sender's failure domain, and to each other domain through one relay, so that only one copy
+//! is sent to each domain. In a large system the nodes and runners of a domain are divided into
+//! groups, and the load of a runner is sent to the nodes of its group, through one relay if this is
+//! not the sender's group. The number of a node's messages and connections then does not grow with
+//! its domain.
 
 use {
     bilberryfront_decide::member::Target,
@@ -18,10 +19,10 @@
 const SYSTEM_LIMIT: usize = 100;
 /// Mean number of nodes in a group.
 const GROUP_SIZE: usize = 20;
-/// Relays of a node in each other domain or group. They take turns, so that an undetected failed one costs
-/// its domain the updates of one epoch, and connections to them stay open.
+/// Number of relays that a node uses in turn in each other domain or group. An undetected failed
+/// relay then loses the updates of one epoch only, and connections to the relays stay open.
 const RELAYS_PER_GROUP: usize = 3;
-/// Length of a relay's turn.
+/// Time for which one relay is used.
 const EPOCH: Duration = Duration::from_secs(1);
 
 /// A peer and its failure domain.
@@ -33,10 +34,10 @@
     pub domain: CompactString,
 }
 
-/// Receivers of a node's updates.
+/// Receivers of a node's updates in a small system.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fanout {
-    /// All nodes of its own domain.
+    /// All other nodes of the node's domain.
     pub local: Vec<Target>,
     /// One relay in each other domain.
     pub relays: Vec<Peer>,
@@ -48,13 +49,13 @@
     domains: BTreeMap<CompactString, Vec<Option<Target>>>,
 }
 
-/// Which loads a node knows.
+/// Runners whose load a node knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Scope {
-    /// Those of all runners.
+    /// All runners.
     #[default]
     System,
-    /// Those of one group of runners in its own failure domain.
+    /// One group of runners in the node's own failure domain.
     Group {
         /// Index of this node's group.
         index: u32,
@@ -64,7 +65,8 @@
 }
 
 impl Scope {
-    /// The scope of the node `me` in a system and a failure domain of these sizes.
+    /// Returns the scope of the node `me`; `system` and `domain` are the numbers of nodes in the
+    /// system and in its failure domain.
     pub fn new(me: &str, system: usize, domain: usize) -> Scope {
         if system <= SYSTEM_LIMIT {
             return Scope::System;
@@ -73,7 +75,7 @@
         Scope::Group { index: group(me, count), count }
     }
 
-    /// Whether a node or runner of the own failure domain is within the scope.
+    /// Returns whether a node or runner of the same failure domain is within the scope.
     pub fn includes(self, name: &str) -> bool {
         match self {
             Scope::System => true,
@@ -83,7 +85,8 @@
 }
 
 impl Fanout {
-    /// Receivers of the node `me` in `epoch`. Relays are chosen per sender, which spreads the work.
+    /// Returns the receivers of updates by the node `me` in `epoch`. Relays are selected per
+    /// sender, which distributes the forwarding over all nodes.
     pub fn new(me: &str, domain: &str, peers: Vec<Peer>, epoch: u64) -> Fanout {
         let seed = xxh64(me.as_bytes(), 0);
         let mut fanout = Fanout::default();
@@ -102,7 +105,7 @@
 }
 
 impl GroupRelays {
-    /// Relays of the node `me` in `epoch`.
+    /// Returns the relays of the node `me` in `epoch`.
     pub fn new(me: &str, domain: &str, peers: &[Peer], epoch: u64) -> GroupRelays {
         let seed = xxh64(me.as_bytes(), 0);
         let mut domains = BTreeMap::<CompactString, Vec<&Peer>>::new();
@@ -122,32 +125,33 @@
         GroupRelays { domains: domains.into_iter().map(relays).collect() }
     }
 
-    /// The relay for the load of a runner in a failure domain.
+    /// Returns the relay for the load of a runner in a failure domain.
     pub fn relay(&self, domain: &str, runner: &str) -> Option<&Target> {
         let relays = self.domains.get(domain)?;
         relays[group(runner, relays.len() as u32) as usize].as_ref()
     }
 }
 
-/// The candidate whose turn it is, of those with the lowest marks.
+/// Returns the relay for `epoch` from the [`RELAYS_PER_GROUP`] candidates with the lowest hashes.
 fn relay(mut candidates: Vec<(u64, Peer)>, epoch: u64) -> Option<Peer> {
     candidates.sort_unstable_by_key(|(hash, _)| *hash);
     let turn = epoch as usize % candidates.len().clamp(1, RELAYS_PER_GROUP);
     (turn < candidates.len()).then(|| candidates.swap_remove(turn).1)
 }
 
-/// Number of groups in a failure domain with this number of nodes.
+/// Returns the number of groups in a failure domain with this number of nodes.
 fn group_count(nodes: usize) -> u32 {
     nodes.div_ceil(GROUP_SIZE).max(1) as u32
 }
 
-/// The group of a node or runner, by rendezvous hashing: few change theirs when `count` changes.
+/// Returns the group of a node or runner by rendezvous hashing, so that only few of them change
+/// their group if `count` changes.
 fn group(name: &str, count: u32) -> u32 {
     let hash = |index: &u32| xxh64(name.as_bytes(), u64::from(*index) + 1);
     (0..count).max_by_key(hash).unwrap_or_default()
 }
 
-/// Epoch at `now` of a node started at `start`.
+/// Returns the epoch at `now` of a node started at `start`.
 pub fn epoch(start: Instant, now: Instant) -> u64 {
     now.saturating_duration_since(start).div_duration_f64(EPOCH) as u64
 }
--- a/crates/relay/src/load_sync.rs
+++ b/crates/relay/src/load_sync.rs
@@ -11,12 +11,12 @@
     },
 };
 
-/// Delay in which changes are batched.
+/// Delay within which changes are batched.
 const BATCH_DELAY: Duration = Duration::from_millis(2);
-/// Interval of full updates, which repair lost ones.
+/// Interval of full updates, which replace lost updates.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A peer's update.
+/// Update from a peer.
 #[derive(Clone, Debug)]
 pub struct PeerReport {
     /// Peer.
--- a/crates/relay/src/mirror.rs
+++ b/crates/relay/src/mirror.rs
@@ -1,4 +1,4 @@
-//! Local copy of a table of the store, merged from the store and from peers.
+//! Local copy of a table of the store, merged from the store's and from peers' rows.
 
 use {
     crate::store::{Revision, Row, Rows},
@@ -12,13 +12,13 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Retention of tombstones; longer than any message is delayed.
+/// Retention time of tombstones; longer than the delay of any message.
 const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
-/// A table that is read by some nodes and forwarded to the others.
+/// Copy of a table that is read by some nodes and forwarded to the others.
 ///
-/// Of two versions of a row the one with the higher revision wins, so updates of several readers
-/// may arrive in any order and more than once.
+/// The version of a row with the highest revision wins, so updates of several readers may arrive in
+/// any order and more than once.
 #[derive(Debug, Default)]
 pub struct Mirror {
     rows: BTreeMap<CompactString, Version>,
@@ -36,12 +36,13 @@
 }
 
 impl Mirror {
-    /// Revision up to which the copy is complete; `None` until the whole table was read once.
+    /// Returns the revision up to which the copy is complete; `None` until the whole table has been
+    /// read once.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// Hash over keys and revisions of all rows; equal for equal copies.
+    /// Returns a hash over keys and revisions of all rows, which is equal for equal copies.
     pub fn hash(&self) -> u64 {
         self.hash
     }
@@ -51,14 +52,15 @@
         self.revision = self.revision.map(|known| known.max(revision));
     }
 
-    /// Merges some rows; returns those that changed. Nothing is returned before the first
-    /// [`Mirror::replace`], which returns everything.
+    /// Merges some rows and returns those that changed. Returns nothing before the first
+    /// [`Mirror::replace`], which returns all rows.
     pub fn merge(&mut self, now: Instant, rows: Vec<Row>) -> Vec<Row> {
         let changed: Vec<Row> = rows.into_iter().filter(|row| self.put(now, row)).collect();
         if self.revision.is_some() { changed } else { Vec::new() }
     }
 
-    /// Merges a snapshot of the whole table; returns the rows that changed, removed ones included.
+    /// Merges a snapshot of the whole table and returns the rows that changed, including removed
+    /// ones.
     pub fn replace(&mut self, now: Instant, snapshot: Rows) -> Vec<Row> {
         let Rows { rows, revision } = snapshot;
         let first = self.revision.is_none();
@@ -77,7 +79,7 @@
         if first { self.rows() } else { changed }
     }
 
-    /// All rows.
+    /// Returns all rows except tombstones.
     pub fn rows(&self) -> Vec<Row> {
         let live = |(key, version): (&CompactString, &Version)| {
             let value = Some(version.value.clone()?);
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -1,9 +1,9 @@
 //! Election of the nodes that read the store for their failure domain.
 //!
-//! The nodes of a domain are ranked by a hash of their names. The first [`READERS`] read the store
-//! and forward what changes; the others read it themselves only while no reader reports that the
-//! store is available to it. Their attempts are spread over the domain, so that the rate of calls
-//! does not grow with its size, in an outage either.
+//! The nodes of a domain are ranked by a hash of their names. The first [`READERS`] nodes read the
+//! store and forward changes; the others read it only while no reader reports that the store is
+//! available to it. Their attempts are spread over the domain, so that the rate of calls does not
+//! depend on its size, even during an outage.
 
 use {
     compact_str::CompactString,
@@ -13,15 +13,16 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Readers per failure domain.
+/// Number of readers per failure domain.
 pub const READERS: usize = 2;
 /// Interval of the readers' reports.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Age at which a report expires.
 const REPORT_TTL: Duration = Duration::from_millis(1_200);
-/// Time after the start for which the readers' first report is awaited.
+/// Time to wait for the first report of a reader after the start.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Deputies that take over one after the other; beyond them, attempts are random.
+/// Number of deputies, which replace the readers one after the other; the attempts of all other
+/// nodes are at random times.
 const DEPUTIES: usize = 4;
 /// Delay between the deputies' attempts.
 const DEPUTY_INTERVAL: Duration = Duration::from_millis(100);
@@ -41,7 +42,7 @@
         Ranking(names)
     }
 
-    /// Returns the rank of a node; the last one if it is unknown.
+    /// Returns the rank of a node; the number of nodes if it is unknown.
     pub fn rank(&self, name: &str) -> usize {
         self.0.iter().position(|n| n == name).unwrap_or(self.0.len())
     }
@@ -70,11 +71,11 @@
 /// Whether this node reads the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// It relies on the readers' updates.
+    /// Relies on the updates of the readers.
     Standby,
-    /// It tries whether the store is available to it.
+    /// Tries whether the store is available to this node.
     Attempt,
-    /// It reads for the domain.
+    /// Reads the store for the failure domain.
     Reader,
 }
 
@@ -85,19 +86,19 @@
     available: bool,
 }
 
-/// This node's part in the election.
+/// State of this node in the election.
 #[derive(Debug)]
 pub struct Election {
     role: Role,
     reports: BTreeMap<CompactString, Report>,
-    /// When the election started; `None` while the other nodes are unknown.
+    /// Start of the election; `None` while the other nodes are unknown.
     start: Option<Instant>,
     attempt_at: Option<Instant>,
     rng: SmallRng,
 }
 
 impl Election {
-    /// Returns a node that takes no part before [`Election::start`].
+    /// Creates the state of a node that does not participate before [`Election::start`].
     pub fn new(seed: u64) -> Election {
         let rng = SmallRng::seed_from_u64(seed);
         Election {
@@ -114,12 +115,12 @@
         self.start = Some(now);
     }
 
-    /// Returns whether this node takes part.
+    /// Returns whether this node participates.
     pub fn is_started(&self) -> bool {
         self.start.is_some()
     }
 
-    /// Takes a reader's report.
+    /// Records the report of a reader.
     pub fn record_report(
         &mut self,
         now: Instant,
@@ -131,7 +132,7 @@
         self.reports.insert(from.clone(), Report { at: now, rank, available });
     }
 
-    /// Takes the outcome of an own poll.
+    /// Records the outcome of a poll by this node.
     pub fn record_poll(&mut self, now: Instant, ok: bool, ranking: &Ranking) {
         match (self.role, ok) {
             (Role::Attempt, true) => self.role = Role::Reader,
@@ -169,12 +170,12 @@
         self.role != Role::Standby
     }
 
-    /// Returns whether a node of a lower rank reads the store.
+    /// Returns whether a node with a lower rank reads the store.
     fn is_relieved(&self, now: Instant, rank: usize) -> bool {
         self.reports.values().any(|report| report.rank < rank && report.is_available(now))
     }
 
-    /// Attempts to read once it is this node's turn, which is not before `first`.
+    /// Schedules this node's attempt, at `first` or later, and starts it once it is due.
     fn schedule(&mut self, now: Instant, first: Instant, rank: usize, size: usize) {
         let at = match self.attempt_at {
             Some(at) => at,
--- a/crates/relay/src/table_sync.rs
+++ b/crates/relay/src/table_sync.rs
@@ -1,8 +1,8 @@
 //! Replication of the store's tables within a failure domain.
 //!
-//! A pure state machine: events in, actions out. Readers ([`crate::readers`]) poll the store, forward
-//! changed rows and report digests of what they have; the other nodes request a whole table when
-//! theirs differs.
+//! This is a state machine without I/O: it handles events and returns actions. Readers
+//! ([`crate::readers`]) poll the store, forward changed rows and report digests of their tables;
+//! the other nodes request a whole table if their copy differs.
 
 use {
     crate::{
@@ -20,23 +20,23 @@
     tokio::time::Instant,
 };
 
-/// Time after an outage within which live runners re-register: 2 s by the platform's guarantee, plus
-/// propagation.
+/// Time after an outage within which running runners register again: 2 s according to the
+/// platform's guarantee, plus propagation.
 const REREGISTER_TIME: Duration = Duration::from_millis(2_500);
-/// Shortest time without the store after which registrations may have expired.
+/// Minimum time without the store after which registrations may have expired.
 const MIN_EXPIRY_TIME: Duration = Duration::from_secs(2);
-/// Interval of the reports to other domains.
+/// Interval of the reports to other failure domains.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(800);
 /// Minimum interval of requests for a table to the same node.
 const PULL_INTERVAL: Duration = Duration::from_millis(250);
-/// Consecutive reports with another digest after which a table is requested; a single one may have
-/// overtaken an update.
+/// Consecutive reports with a different digest after which a table is requested; a single report
+/// may have overtaken an update.
 const MISMATCHES: u32 = 2;
 
 /// Side effect of the replication.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send to all nodes of the own failure domain.
+    /// Send to all other nodes of this node's failure domain.
     Broadcast(PeerMessage),
     /// Send to the first reader of each other failure domain.
     Exchange(PeerMessage),
@@ -48,7 +48,7 @@
         table: TableId,
         /// Rows.
         rows: Vec<Row>,
-        /// Time for which a removed row may still return.
+        /// Time for which removed runners are kept, because they may register again.
         grace: Duration,
     },
 }
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 struct Table {
     mirror: Mirror,
-    /// Whether the last own poll failed.
+    /// Whether this node's last poll failed.
     failed: bool,
     mismatches: u32,
     pulled: Option<(Instant, CompactString)>,
@@ -73,24 +73,25 @@
     polling: bool,
     /// Whether the last poll of the operators' table succeeded.
     responsive: bool,
-    /// Whether all tables are served.
+    /// Whether this node's last polls succeeded, so that it serves its tables to other nodes.
     served: bool,
     reported_at: Option<Instant>,
     exchanged_at: Option<Instant>,
-    /// Last sign that the store is available, own or reported_at.
+    /// Time at which the store was last available to this node or, by its report, to a reader.
     available_at: Option<Instant>,
     /// Whether the store is unavailable to this node and to all readers.
     outage: bool,
-    /// Whether it is known to reject requests, rather than not known to be available.
+    /// Whether polls have failed or readers have reported failures during the outage; otherwise the
+    /// store is only not known to be available.
     rejected: bool,
-    /// End of the time in which removed runners may return.
+    /// End of the time in which removed runners may register again.
     grace: Option<Instant>,
-    /// Last request for missing tables.
+    /// Time of the last request for missing tables.
     pulled_missing_at: Option<Instant>,
 }
 
 impl TableSync {
-    /// A node without any rows.
+    /// Creates the state of a node without any rows.
     pub fn new(seed: u64, me: CompactString) -> TableSync {
         TableSync {
             ranking: Ranking::new([me.clone()]),
@@ -110,43 +111,44 @@
         }
     }
 
-    /// Starts the election: the other nodes are reachable from now on.
+    /// Starts the election; to be called as soon as the other nodes are reachable.
     pub fn start(&mut self, now: Instant) {
         self.election.start(now);
     }
 
-    /// Sets the nodes of the own failure domain.
+    /// Sets the nodes of this node's failure domain.
     pub fn set_ranking(&mut self, ranking: Ranking) {
         self.ranking = ranking;
     }
 
-    /// Whether the operators' table should be polled.
+    /// Returns whether the operators' table should be polled.
     pub fn is_polling(&self) -> bool {
         self.polling
     }
 
-    /// Whether all tables should be polled. While the store is unavailable, one table is enough to
-    /// detect its return.
+    /// Returns whether all tables should be polled. While the store is unavailable, polling one
+    /// table is enough to detect the end of the outage.
     pub fn is_reading(&self) -> bool {
         self.polling && self.responsive
     }
 
-    /// Whether the store rejects requests of this node and of all readers.
+    /// Returns whether the store is known to be unavailable to this node and to all readers.
     pub fn is_cut_off(&self) -> bool {
         self.outage && self.rejected
     }
 
-    /// Whether registrations of live runners may be missing.
+    /// Returns whether the store is available and all running runners have had time to register
+    /// again.
     pub fn is_settled(&self, now: Instant) -> bool {
         !self.outage && self.grace.is_none_or(|end| now >= end)
     }
 
-    /// Whether this node is the first one that should read the store.
+    /// Returns whether this node is the first reader of its failure domain.
     pub fn is_first_reader(&self) -> bool {
         self.ranking.rank(&self.me) == 0
     }
 
-    /// Revision up to which a table is known, to continue its feed from.
+    /// Returns the revision up to which a table is known, from which its feed can be resumed.
     pub fn revision(&self, table: TableId) -> Option<u64> {
         self.tables[index(table)].mirror.revision()
     }
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Takes the result of an own poll.
+    /// Handles the result of a poll by this node.
     pub fn on_poll(&mut self, now: Instant, table: TableId, change: Change, out: &mut Vec<Action>) {
         let failed = matches!(change, Change::Unavailable);
         self.tables[index(table)].failed = failed;
@@ -176,7 +178,8 @@
         if table == TableId::Operators {
             self.responsive = !failed;
         }
-        // Rollouts are rare: their statuses alone do not tell whether the store is available.
+        // Rollout statuses change rarely, so polls of them alone do not show whether the store is
+        // available.
         if table != TableId::Statuses {
             self.served = !self.has_failed();
             self.election.record_poll(now, self.served, &self.ranking);
@@ -207,7 +210,8 @@
             return;
         }
         let grace = self.grace_left(now);
-        // The first read is no change: nodes that lack rows request them after the next report.
+        // The first read is not forwarded: nodes without these rows request them after the next
+        // report.
         match loaded {
             true => out.push(Action::Broadcast(update(table, revision, false, grace, &rows))),
             false => self.reported_at = None,
@@ -215,18 +219,18 @@
         out.push(Action::Apply { table, rows, grace });
     }
 
-    /// Takes a table that was read ahead of the replication.
+    /// Handles a table that was read directly.
     pub fn on_load(&mut self, now: Instant, table: TableId, rows: Rows, out: &mut Vec<Action>) {
         let rows = self.tables[index(table)].mirror.replace(now, rows);
         out.push(Action::Apply { table, rows, grace: Duration::ZERO });
     }
 
-    /// Takes a row of the operators' table that gossip has brought.
+    /// Handles a row of the operators' table that was received by gossip.
     pub fn on_gossip(&mut self, now: Instant, row: Row) {
         self.tables[index(TableId::Operators)].mirror.merge(now, vec![row]);
     }
 
-    /// Takes a peer's message.
+    /// Handles a message from a peer.
     pub fn on_message(
         &mut self,
         now: Instant,
@@ -257,7 +261,7 @@
             false => mirror.merge(now, rows),
         };
         let grace = Duration::from_millis(grace_ms.into());
-        // From another domain: this node forwards what its domain lacks.
+        // The sender is in another failure domain: forward the rows that were missing in this one.
         if !rows.is_empty() && !self.ranking.contains(from) {
             out.push(Action::Broadcast(update(table, revision, false, grace, &rows)));
         }
@@ -266,7 +270,7 @@
         }
     }
 
-    /// Answers a request for a table, as far as this node is a reader.
+    /// Returns the response to a request for a table, if this node serves its tables.
     fn answer(&self, now: Instant, from: &CompactString, table: TableId) -> Option<Action> {
         let mirror = &self.tables[index(table)].mirror;
         let revision = mirror.revision().filter(|_| self.served)?;
@@ -305,7 +309,7 @@
         }
     }
 
-    /// Requests tables from the nodes that should be readers, without waiting for a report.
+    /// Requests missing tables from the nodes that should be readers, without waiting for a report.
     fn pull_missing(&mut self, now: Instant, out: &mut Vec<Action>) {
         let missing = |table: &&TableId| self.tables[index(**table)].mirror.revision().is_none();
         let missing: Vec<TableId> = TableId::ALL.iter().filter(missing).copied().collect();
@@ -345,7 +349,8 @@
         self.tables[index(TableId::Operators)].failed || self.tables[index(TableId::Runners)].failed
     }
 
-    /// Tracks outages. Registrations expire in a long one, and return some time after it.
+    /// Updates the state of the outage. Registrations may expire during a long outage; runners
+    /// register again within some time after it.
     fn update_outage(&mut self, now: Instant) {
         let available = (self.served && self.is_loaded()) || self.election.has_reader(now);
         if available && self.outage {
@@ -373,7 +378,7 @@
     }
 }
 
-/// Whether an interval has passed since `last`, which is then set to now.
+/// Returns whether an interval has passed since `last`, and sets `last` to now if so.
 fn is_due(last: &mut Option<Instant>, now: Instant, every: Duration) -> bool {
     let due = last.is_none_or(|at| now >= at + every);
     if due {
