--- a/crates/decide/src/intent.rs
+++ b/crates/decide/src/intent.rs
@@ -2,7 +2,7 @@
 //!
 //! A call's row is inserted if absent, and only the claim whose insert took effect may send the
 //! call, once. Ownership never moves to another node, so no pause, lease lapse or partition can
-//! make two senders. [`Life`] is one request's way through this: events in, one action out.
+//! make two senders. [`RequestLifecycle`] is one request's way through this: events in, one action out.
 
 use {
     crate::chart::Chart,
@@ -203,7 +203,7 @@
 
 /// One request's way from its claim to its outcome.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct RequestLifecycle {
     state: State,
     owner: Owner,
     digest: CompactString,
@@ -216,12 +216,17 @@
     row: Option<Found>,
 }
 
-impl Life {
+impl RequestLifecycle {
     /// A request with a claim of its own, never used before. `born` must not be later than the
     /// first step; `created` is the same time in seconds since the Unix epoch.
-    pub fn new(owner: Owner, digest: CompactString, born: Instant, created: u64) -> Life {
+    pub fn new(
+        owner: Owner,
+        digest: CompactString,
+        born: Instant,
+        created: u64,
+    ) -> RequestLifecycle {
         let state = chart().initial();
-        Life { state, owner, digest, created, born, uncertain: false, row: None }
+        RequestLifecycle { state, owner, digest, created, born, uncertain: false, row: None }
     }
 
     /// Where the request is.
--- a/crates/decide/tests/intent.rs
+++ b/crates/decide/tests/intent.rs
@@ -4,8 +4,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Answer, Event, Fault, Found, Kept, Life, Outcome, Owner, RETENTION, Shelf,
-            State, Verdict,
+            Action, Answer, Event, Fault, Found, Kept, Outcome, Owner, RETENTION, RequestLifecycle,
+            Shelf, State, Verdict,
         },
     },
     bilberryfront_wire::table::{RowRevision, Written},
@@ -62,7 +62,7 @@
 struct Request {
     node: usize,
     body: &'static str,
-    life: Life,
+    life: RequestLifecycle,
     todo: Action,
     /// The table's last answer.
     heard: Option<Event>,
@@ -134,7 +134,7 @@
         self.claims += 1;
         let incarnation = Incarnation(self.nodes[node].incarnation);
         let owner = Owner { incarnation, claim: self.claims };
-        let life = Life::new(owner, body.into(), self.now, 0);
+        let life = RequestLifecycle::new(owner, body.into(), self.now, 0);
         let todo = Action::Rest;
         self.requests.push(Request { node, body, life, todo, heard: None, ran: false });
         self.tell(self.requests.len() - 1, first)
--- a/crates/decide/tests/intent_cases.rs
+++ b/crates/decide/tests/intent_cases.rs
@@ -4,8 +4,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Event, Fault, Found, Holder, Intent, Life, Outcome, Owner, RETENTION, Shelf,
-            Verdict,
+            Action, Event, Fault, Found, Holder, Intent, Outcome, Owner, RETENTION,
+            RequestLifecycle, Shelf, Verdict,
         },
     },
     bilberryfront_wire::table::Written,
@@ -13,7 +13,7 @@
 };
 
 struct Solo {
-    life: Life,
+    life: RequestLifecycle,
     shelf: Shelf,
 }
 
@@ -35,8 +35,8 @@
     Holder { owner: owner(claim), created: 0 }
 }
 
-fn life(claim: u64) -> Life {
-    Life::new(owner(claim), "body".into(), Instant::now(), 0)
+fn life(claim: u64) -> RequestLifecycle {
+    RequestLifecycle::new(owner(claim), "body".into(), Instant::now(), 0)
 }
 
 fn row(claim: u64, outcome: Option<Outcome>) -> Event {
@@ -108,7 +108,7 @@
     first.step(Event::Failed(Fault::Lost));
     first.step(Event::Failed(Fault::Lost));
     let late = Instant::now() + RETENTION;
-    let mut retry = Life::new(owner(2), "body".into(), late, 0);
+    let mut retry = RequestLifecycle::new(owner(2), "body".into(), late, 0);
     retry.step(Event::Claim, &mut first.shelf);
     retry.step(Event::Written(Written::Conflict(1)), &mut first.shelf);
     assert_eq!(retry.step(row(1, None), &mut first.shelf), Action::Permit);
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -26,7 +26,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Event, Fault, Found, Holder, Intent, Life, Outcome, Owner, Verdict, peek,
+            Action, Event, Fault, Found, Holder, Intent, Outcome, Owner, RequestLifecycle, Verdict,
+            peek,
         },
     },
     bilberryfront_wire::table::{Read, Row, Write, Written},
@@ -197,7 +198,7 @@
     async fn enter(&self, call: &Call, first: Event) -> Claim {
         let claim = self.claims.fetch_add(1, Ordering::Relaxed);
         let owner = Owner { incarnation: self.incarnation, claim };
-        let life = Life::new(owner, call.digest.clone(), Instant::now(), unix_now());
+        let life = RequestLifecycle::new(owner, call.digest.clone(), Instant::now(), unix_now());
         self.drive(Held { row: call.row(), life }, first).await
     }
 
--- a/src/intents/permit.rs
+++ b/src/intents/permit.rs
@@ -1,7 +1,7 @@
 //! The right to send a call once.
 
 use {
-    bilberryfront_decide::intent::{Action, Event, Life, Outcome, Shelf, State},
+    bilberryfront_decide::intent::{Action, Event, Outcome, RequestLifecycle, Shelf, State},
     compact_str::CompactString,
     std::sync::{Arc, Mutex, PoisonError},
     tokio::{sync::mpsc, time::Instant},
@@ -11,14 +11,14 @@
 pub(super) type SharedShelf = Arc<Mutex<Shelf>>;
 
 /// Steps a life with the shared shelf.
-pub(super) fn step(life: &mut Life, event: Event, shelf: &SharedShelf) -> Action {
+pub(super) fn step(life: &mut RequestLifecycle, event: Event, shelf: &SharedShelf) -> Action {
     life.step(event, &mut shelf.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 /// A call's life from its claim to its record, and its row's key.
 pub(super) struct Held {
     pub(super) row: CompactString,
-    pub(super) life: Life,
+    pub(super) life: RequestLifecycle,
 }
 
 /// An outcome for a claim whose permit was dropped.
