--- a/crates/decide/src/intent.rs
+++ b/crates/decide/src/intent.rs
@@ -15,12 +15,12 @@
 
 pub mod method;
 pub mod row;
-pub mod shelf;
+pub mod abandoned;
 
 pub use {
+    abandoned::AbandonedClaims,
     method::{KeyError, Plan, plan},
     row::{Answer, Holder, Intent, Kept, Outcome, Owner},
-    shelf::Shelf,
 };
 
 /// How long after its claim a call may be sent. Rows are swept after [`RETENTION`]; an owner that
@@ -245,7 +245,7 @@
     }
 
     /// Takes one event. `shelf` is the one of this node's life.
-    pub fn step(&mut self, event: Event, shelf: &mut Shelf) -> Action {
+    pub fn step(&mut self, event: Event, shelf: &mut AbandonedClaims) -> Action {
         let late = matches!(event, Event::Send(now) if now - self.born > SEND_WITHIN);
         if late && self.state == State::Owned {
             return Action::Hold;
@@ -258,7 +258,7 @@
         self.act(before, shelf)
     }
 
-    fn label(&self, event: &Event, shelf: &Shelf) -> Label {
+    fn label(&self, event: &Event, shelf: &AbandonedClaims) -> Label {
         match event {
             Event::Claim => Label::Claim,
             Event::Look => Label::Look,
@@ -276,7 +276,7 @@
         }
     }
 
-    fn read(&self, intent: &Intent, shelf: &Shelf) -> Label {
+    fn read(&self, intent: &Intent, shelf: &AbandonedClaims) -> Label {
         if intent.digest != self.digest {
             return Label::Mismatch;
         }
@@ -292,7 +292,7 @@
     }
 
     /// Remembers what the event says of the row.
-    fn keep(&mut self, event: Event, shelf: &mut Shelf) {
+    fn keep(&mut self, event: Event, shelf: &mut AbandonedClaims) {
         match event {
             Event::Written(Written::Done(revision)) => {
                 self.row.iter_mut().for_each(|r| r.revision = revision);
@@ -312,7 +312,7 @@
         }
     }
 
-    fn act(&mut self, before: State, shelf: &mut Shelf) -> Action {
+    fn act(&mut self, before: State, shelf: &mut AbandonedClaims) -> Action {
         match self.state {
             State::Idle => Action::Ignore,
             State::Claiming => self.write(0, 1),
@@ -356,7 +356,7 @@
 
     /// Ends without sending. A write whose reply was lost may still take effect; its claim goes to
     /// the shelf, or the row would answer "unknown" for as long as it lives though nothing ran.
-    fn leave(&self, verdict: Verdict, shelf: &mut Shelf) -> Action {
+    fn leave(&self, verdict: Verdict, shelf: &mut AbandonedClaims) -> Action {
         if self.uncertain {
             shelf.put(self.owner, self.born);
         }
--- a/crates/decide/src/intent/shelf.rs
+++ b/crates/decide/src/intent/abandoned.rs
@@ -3,7 +3,7 @@
 use {super::row::Owner, rustc_hash::FxHashMap, tokio::time::Instant};
 
 /// Most claims remembered. A forgotten one is never sent: its row then stays without an outcome.
-pub const SHELF_MAX: usize = 1024;
+pub const MAX_ABANDONED_CLAIMS: usize = 1024;
 
 /// Claims that were given up before anything was sent.
 ///
@@ -11,14 +11,14 @@
 /// at this node may then take the claim over: the shelf is the only place it can come from, and
 /// taking removes it, so it is sent at most once.
 #[derive(Debug, Default)]
-pub struct Shelf {
+pub struct AbandonedClaims {
     claims: FxHashMap<Owner, Instant>,
 }
 
-impl Shelf {
+impl AbandonedClaims {
     /// Remembers a claim made at `born` and never sent.
     pub fn put(&mut self, owner: Owner, born: Instant) {
-        if self.claims.len() >= SHELF_MAX
+        if self.claims.len() >= MAX_ABANDONED_CLAIMS
             && let Some(oldest) = self.claims.iter().min_by_key(|(_, t)| **t).map(|(o, _)| *o)
         {
             self.claims.remove(&oldest);
--- a/crates/decide/tests/intent.rs
+++ b/crates/decide/tests/intent.rs
@@ -4,8 +4,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Answer, Event, Fault, Found, Kept, Outcome, Owner, RETENTION, RequestLifecycle,
-            Shelf, State, Verdict,
+            AbandonedClaims, Action, Answer, Event, Fault, Found, Kept, Outcome, Owner, RETENTION,
+            RequestLifecycle, State, Verdict,
         },
     },
     bilberryfront_wire::table::{RowRevision, Written},
@@ -56,7 +56,7 @@
 
 struct Node {
     incarnation: u64,
-    shelf: Shelf,
+    shelf: AbandonedClaims,
 }
 
 struct Request {
@@ -87,7 +87,7 @@
 impl World {
     fn new() -> World {
         let nodes = (0..NODES as u64)
-            .map(|incarnation| Node { incarnation, shelf: Shelf::default() })
+            .map(|incarnation| Node { incarnation, shelf: AbandonedClaims::default() })
             .collect();
         World {
             now: Instant::now(),
@@ -143,7 +143,7 @@
     fn crash(&mut self, node: usize) {
         self.requests.retain(|r| r.node != node);
         self.nodes[node].incarnation += NODES as u64;
-        self.nodes[node].shelf = Shelf::default();
+        self.nodes[node].shelf = AbandonedClaims::default();
     }
 
     /// No write takes hours to get to the table: the network and the committer drop it before.
--- a/crates/decide/tests/intent_cases.rs
+++ b/crates/decide/tests/intent_cases.rs
@@ -4,8 +4,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Event, Fault, Found, Holder, Intent, Outcome, Owner, RETENTION,
-            RequestLifecycle, Shelf, Verdict,
+            AbandonedClaims, Action, Event, Fault, Found, Holder, Intent, Outcome, Owner,
+            RETENTION, RequestLifecycle, Verdict,
         },
     },
     bilberryfront_wire::table::Written,
@@ -14,12 +14,12 @@
 
 struct Solo {
     life: RequestLifecycle,
-    shelf: Shelf,
+    shelf: AbandonedClaims,
 }
 
 impl Solo {
     fn new(claim: u64) -> Solo {
-        Solo { life: life(claim), shelf: Shelf::default() }
+        Solo { life: life(claim), shelf: AbandonedClaims::default() }
     }
 
     fn step(&mut self, event: Event) -> Action {
--- a/src/intents/permit.rs
+++ b/src/intents/permit.rs
@@ -1,14 +1,16 @@
 //! The right to send a call once.
 
 use {
-    bilberryfront_decide::intent::{Action, Event, Outcome, RequestLifecycle, Shelf, State},
+    bilberryfront_decide::intent::{
+        AbandonedClaims, Action, Event, Outcome, RequestLifecycle, State,
+    },
     compact_str::CompactString,
     std::sync::{Arc, Mutex, PoisonError},
     tokio::{sync::mpsc, time::Instant},
 };
 
 /// The shelf of this node's life, which all its requests share.
-pub(super) type SharedShelf = Arc<Mutex<Shelf>>;
+pub(super) type SharedShelf = Arc<Mutex<AbandonedClaims>>;
 
 /// Steps a life with the shared shelf.
 pub(super) fn step(life: &mut RequestLifecycle, event: Event, shelf: &SharedShelf) -> Action {
