--- a/crates/decide/src/intent.rs
+++ b/crates/decide/src/intent.rs
@@ -20,7 +20,7 @@
 pub use {
     abandoned::AbandonedClaims,
     method::{KeyError, Plan, plan},
-    row::{Answer, Holder, Intent, Kept, Outcome, Owner},
+    row::{Answer, Holder, Intent, Outcome, Owner, StoredBody},
 };
 
 /// How long after its claim a call may be sent. Rows are swept after [`RETENTION`]; an owner that
--- a/crates/decide/src/intent/row.rs
+++ b/crates/decide/src/intent/row.rs
@@ -71,14 +71,14 @@
     /// Headers kept, by lower-case name.
     pub headers: Vec<(CompactString, String)>,
     /// Body.
-    pub body: Kept,
+    pub body: StoredBody,
 }
 
 /// A body in a row, which holds text only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kept {
+pub enum StoredBody {
     /// A UTF-8 body as it is.
     Text(String),
     /// Any other body in lower-case hex.
--- a/crates/decide/tests/intent.rs
+++ b/crates/decide/tests/intent.rs
@@ -4,8 +4,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            AbandonedClaims, Action, Answer, Event, Fault, Found, Kept, Outcome, Owner, RETENTION,
-            RequestLifecycle, State, Verdict,
+            AbandonedClaims, Action, Answer, Event, Fault, Found, Outcome, Owner, RETENTION,
+            RequestLifecycle, State, StoredBody, Verdict,
         },
     },
     bilberryfront_wire::table::{RowRevision, Written},
@@ -301,7 +301,7 @@
 
 /// The runner's answer names who asked.
 fn answer(owner: Owner) -> Outcome {
-    let body = Kept::Text(format!("{owner:?}"));
+    let body = StoredBody::Text(format!("{owner:?}"));
     Outcome::Answer(Answer { status: 200, headers: Vec::new(), body })
 }
 
--- a/src/intents/answer.rs
+++ b/src/intents/answer.rs
@@ -2,7 +2,7 @@
 
 use {
     super::call::hex,
-    bilberryfront_decide::intent::{Answer, Kept},
+    bilberryfront_decide::intent::{Answer, StoredBody},
     bytes::Bytes,
     compact_str::CompactString,
     http::HeaderMap,
@@ -25,22 +25,22 @@
     Answer { status, headers, body: keep_body(body) }
 }
 
-fn keep_body(body: &[u8]) -> Kept {
+fn keep_body(body: &[u8]) -> StoredBody {
     if body.len() > BODY_MAX {
-        return Kept::Dropped;
+        return StoredBody::Dropped;
     }
     match std::str::from_utf8(body) {
-        Ok(text) => Kept::Text(text.to_owned()),
-        Err(_) => Kept::Hex(hex(body).into()),
+        Ok(text) => StoredBody::Text(text.to_owned()),
+        Err(_) => StoredBody::Hex(hex(body).into()),
     }
 }
 
 /// The body of a kept answer; `None` when it was too long to keep, or its row is damaged.
-pub fn body(kept: &Kept) -> Option<Bytes> {
+pub fn body(kept: &StoredBody) -> Option<Bytes> {
     match kept {
-        Kept::Text(text) => Some(Bytes::copy_from_slice(text.as_bytes())),
-        Kept::Hex(hex) => unhex(hex),
-        Kept::Dropped => None,
+        StoredBody::Text(text) => Some(Bytes::copy_from_slice(text.as_bytes())),
+        StoredBody::Hex(hex) => unhex(hex),
+        StoredBody::Dropped => None,
     }
 }
 
--- a/tests/once_intents.rs
+++ b/tests/once_intents.rs
@@ -14,7 +14,7 @@
     },
     bilberryfront_decide::{
         id::Incarnation,
-        intent::{Answer, Kept, Outcome},
+        intent::{Answer, Outcome, StoredBody},
     },
     bilberryfront_wire::table::Row,
     futures_util::future::join_all,
@@ -391,8 +391,8 @@
     for body in [&b""[..], b"text", &[0xff, 0x00, 0x7f]] {
         assert_eq!(answer::body(&kept(body)).as_deref(), Some(body));
     }
-    assert_eq!(kept(&vec![b'x'; answer::BODY_MAX + 1]), Kept::Dropped);
-    assert_eq!(answer::body(&Kept::Hex("zz".into())), None);
+    assert_eq!(kept(&vec![b'x'; answer::BODY_MAX + 1]), StoredBody::Dropped);
+    assert_eq!(answer::body(&StoredBody::Hex("zz".into())), None);
     let Answer { headers, .. } = answer::keep(200, &cookie(), b"");
     assert!(headers.is_empty(), "a cookie is not for the next caller");
 }
