--- a/crates/decide/src/intent.rs
+++ b/crates/decide/src/intent.rs
@@ -123,7 +123,7 @@
     /// The table answered a write.
     Written(Written),
     /// The table answered a read.
-    Row(Option<Found>),
+    Row(Option<IntentRow>),
     /// The table answered neither.
     Failed(Fault),
     /// The request is about to leave, now.
@@ -136,7 +136,7 @@
 
 /// A row as read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct IntentRow {
     /// Its revision.
     pub revision: RowRevision,
     /// Its value.
@@ -156,7 +156,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Write the call's row if it has this revision.
-    Write(Found),
+    Write(IntentRow),
     /// Read the call's row.
     Read,
     /// The call may be sent: step with [`Event::Send`] right before.
@@ -213,7 +213,7 @@
     /// A write of ours may still take effect: its reply was lost.
     uncertain: bool,
     /// The row last written or read.
-    row: Option<Found>,
+    row: Option<IntentRow>,
 }
 
 impl RequestLifecycle {
@@ -240,7 +240,7 @@
     }
 
     /// The row last written or read.
-    pub fn row(&self) -> Option<&Found> {
+    pub fn row(&self) -> Option<&IntentRow> {
         self.row.as_ref()
     }
 
@@ -344,7 +344,7 @@
             created: self.created,
             outcome: None,
         };
-        let found = Found { revision, intent };
+        let found = IntentRow { revision, intent };
         self.row = Some(found.clone());
         Action::Write(found)
     }
--- a/crates/decide/tests/intent.rs
+++ b/crates/decide/tests/intent.rs
@@ -4,7 +4,7 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            AbandonedClaims, Action, Answer, Event, Fault, Found, Outcome, Owner, RETENTION,
+            AbandonedClaims, Action, Answer, Event, Fault, IntentRow, Outcome, Owner, RETENTION,
             RequestLifecycle, State, StoredBody, Verdict,
         },
     },
@@ -50,7 +50,7 @@
 /// A row of the naive table, and when it was made.
 #[derive(Clone)]
 struct Row {
-    found: Found,
+    found: IntentRow,
     born: Instant,
 }
 
@@ -77,7 +77,7 @@
     requests: Vec<Request>,
     /// The one key's row.
     row: Option<Row>,
-    late: Vec<Found>,
+    late: Vec<IntentRow>,
     /// Who sent the call to the runner since the row was last swept.
     log: Vec<Owner>,
 }
@@ -197,7 +197,7 @@
     }
 
     /// A write on its way to the table.
-    fn reach(&mut self, found: Found, fate: u8) -> Event {
+    fn reach(&mut self, found: IntentRow, fate: u8) -> Event {
         match fate % 8 {
             0 => Event::Failed(Fault::Down),
             1 => Event::Failed(Fault::Lost),
@@ -214,14 +214,14 @@
     }
 
     /// The naive table: one row, written when its revision is as expected.
-    fn write(&mut self, Found { revision, intent }: Found) -> Written {
+    fn write(&mut self, IntentRow { revision, intent }: IntentRow) -> Written {
         let held: RowRevision = self.row.as_ref().map_or(0, |r| r.found.revision);
         if held != revision {
             return Written::Conflict(held);
         }
         let born =
             self.row.as_ref().filter(|_| intent.outcome.is_some()).map_or(self.now, |r| r.born);
-        self.row = Some(Row { found: Found { revision: held + 1, intent }, born });
+        self.row = Some(Row { found: IntentRow { revision: held + 1, intent }, born });
         Written::Done(held + 1)
     }
 
--- a/crates/decide/tests/intent_cases.rs
+++ b/crates/decide/tests/intent_cases.rs
@@ -4,7 +4,7 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            AbandonedClaims, Action, Event, Fault, Found, Holder, Intent, Outcome, Owner,
+            AbandonedClaims, Action, Event, Fault, Holder, Intent, IntentRow, Outcome, Owner,
             RETENTION, RequestLifecycle, Verdict,
         },
     },
@@ -42,7 +42,7 @@
 fn row(claim: u64, outcome: Option<Outcome>) -> Event {
     let intent =
         Intent { owner: owner(claim), generation: 1, digest: "body".into(), created: 0, outcome };
-    Event::Row(Some(Found { revision: 1, intent }))
+    Event::Row(Some(IntentRow { revision: 1, intent }))
 }
 
 /// Two requests with one key meet at one node. The second finds its own node's life in the row and
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -26,8 +26,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Event, Fault, Found, Holder, Intent, Outcome, Owner, RequestLifecycle, Verdict,
-            peek,
+            Action, Event, Fault, Holder, Intent, IntentRow, Outcome, Owner, RequestLifecycle,
+            Verdict, peek,
         },
     },
     bilberryfront_wire::table::{Read, Row, Write, Written},
@@ -289,13 +289,13 @@
         false
     }
 
-    async fn write(&self, row: &CompactString, found: &Found) -> Result<Written> {
+    async fn write(&self, row: &CompactString, found: &IntentRow) -> Result<Written> {
         let value = serde_json::to_string(&found.intent).expect("plain data serializes");
         let expect = Some(found.revision);
         self.batch.write(Write { key: row.clone(), expect, value: Some(value) }).await
     }
 
-    async fn read(&self, row: &CompactString) -> Result<Option<Found>> {
+    async fn read(&self, row: &CompactString) -> Result<Option<IntentRow>> {
         let read = Read { keys: vec![row.clone()] };
         let rows = match timeout(self.limits.slow, self.table.read(&read)).await {
             Ok(rows) => rows?.rows,
@@ -306,10 +306,10 @@
 }
 
 /// A row that is no intent is as good as none that can be read: nobody may send the call.
-fn found(row: &Row) -> Result<Found> {
+fn found(row: &Row) -> Result<IntentRow> {
     let intent: Intent =
         serde_json::from_str(&row.value).map_err(|e| PlatformError::Lost(e.to_string()))?;
-    Ok(Found { revision: row.revision, intent })
+    Ok(IntentRow { revision: row.revision, intent })
 }
 
 fn failed(error: PlatformError, why: &mut Option<PlatformError>) -> Event {
