--- a/crates/decide/src/intent.rs
+++ b/crates/decide/src/intent.rs
@@ -164,11 +164,11 @@
     /// Send it, now.
     Send,
     /// Too late to send; end with [`Outcome::NotRun`].
-    Hold,
+    Expire,
     /// Answer the request.
-    Say(Verdict),
+    Respond(Verdict),
     /// All is done.
-    Rest,
+    Finish,
     /// The event doesn't fit the state: a duplicate.
     Ignore,
 }
@@ -248,7 +248,7 @@
     pub fn step(&mut self, event: Event, shelf: &mut AbandonedClaims) -> Action {
         let late = matches!(event, Event::Send(now) if now - self.born > SEND_WITHIN);
         if late && self.state == State::Owned {
-            return Action::Hold;
+            return Action::Expire;
         }
         let label = self.label(&event, shelf);
         let Some(state) = chart().next(self.state, label) else { return Action::Ignore };
@@ -325,12 +325,12 @@
             State::Sending => Action::Send,
             State::Recording => self.row.clone().map_or(Action::Ignore, Action::Write),
             State::Settled if before == State::Looking => self.recorded(),
-            State::Settled | State::Unrecorded => Action::Rest,
+            State::Settled | State::Unrecorded => Action::Finish,
             State::Busy => {
                 let row = self.row.as_ref().expect("a busy call has a row");
-                Action::Say(Verdict::Busy(row.intent.holder()))
+                Action::Respond(Verdict::Busy(row.intent.holder()))
             }
-            State::Mismatched => Action::Say(Verdict::Mismatch),
+            State::Mismatched => Action::Respond(Verdict::Mismatch),
             State::Refused => self.leave(Verdict::NotRun, shelf),
             State::Abandoned => self.leave(Verdict::Unclear, shelf),
         }
@@ -351,7 +351,7 @@
 
     fn recorded(&self) -> Action {
         let outcome = self.row.as_ref().and_then(|r| r.intent.outcome.clone());
-        Action::Say(Verdict::Outcome(outcome.expect("a settled row has an outcome")))
+        Action::Respond(Verdict::Outcome(outcome.expect("a settled row has an outcome")))
     }
 
     /// Ends without sending. A write whose reply was lost may still take effect; its claim goes to
@@ -360,6 +360,6 @@
         if self.uncertain {
             shelf.put(self.owner, self.born);
         }
-        Action::Say(verdict)
+        Action::Respond(verdict)
     }
 }
--- a/crates/decide/tests/intent.rs
+++ b/crates/decide/tests/intent.rs
@@ -135,7 +135,7 @@
         let incarnation = Incarnation(self.nodes[node].incarnation);
         let owner = Owner { incarnation, claim: self.claims };
         let life = RequestLifecycle::new(owner, body.into(), self.now, 0);
-        let todo = Action::Rest;
+        let todo = Action::Finish;
         self.requests.push(Request { node, body, life, todo, heard: None, ran: false });
         self.tell(self.requests.len() - 1, first)
     }
@@ -183,13 +183,13 @@
                 self.hear(i, event)
             }
             Action::Permit => self.send(i, fate),
-            Action::Hold => self.tell(i, Event::End(Outcome::NotRun, self.now)),
+            Action::Expire => self.tell(i, Event::End(Outcome::NotRun, self.now)),
             Action::Send => self.end(i, fate),
-            Action::Say(Verdict::Busy(_)) => {
+            Action::Respond(Verdict::Busy(_)) => {
                 let Request { node, body, .. } = self.requests.remove(i);
                 self.ask(node, body, Event::Look)
             }
-            Action::Say(_) | Action::Rest | Action::Ignore => {
+            Action::Respond(_) | Action::Finish | Action::Ignore => {
                 self.requests.remove(i);
                 Ok(())
             }
@@ -265,8 +265,8 @@
         let shelf = &mut self.nodes[request.node].shelf;
         match request.life.step(event, shelf) {
             Action::Ignore => Ok(()),
-            Action::Say(verdict) => {
-                request.todo = Action::Say(verdict.clone());
+            Action::Respond(verdict) => {
+                request.todo = Action::Respond(verdict.clone());
                 self.said(i, &verdict, read)
             }
             todo => {
--- a/crates/decide/tests/intent_cases.rs
+++ b/crates/decide/tests/intent_cases.rs
@@ -52,7 +52,7 @@
     let mut second = Solo::new(2);
     second.step(Event::Claim);
     assert_eq!(second.step(Event::Written(Written::Conflict(1))), Action::Read);
-    assert_eq!(second.step(row(1, None)), Action::Say(Verdict::Busy(holder(1))));
+    assert_eq!(second.step(row(1, None)), Action::Respond(Verdict::Busy(holder(1))));
 }
 
 /// The insert's reply is lost and so is the read's: the caller hears "unknown". The insert had its
@@ -62,7 +62,7 @@
     let mut first = Solo::new(1);
     first.step(Event::Claim);
     first.step(Event::Failed(Fault::Lost));
-    assert_eq!(first.step(Event::Failed(Fault::Lost)), Action::Say(Verdict::Unclear));
+    assert_eq!(first.step(Event::Failed(Fault::Lost)), Action::Respond(Verdict::Unclear));
     let mut shelf = first.shelf;
     let mut take = |claim| {
         let mut life = life(claim);
@@ -71,7 +71,7 @@
         life.step(row(1, None), &mut shelf)
     };
     assert_eq!(take(2), Action::Permit);
-    assert_eq!(take(3), Action::Say(Verdict::Busy(holder(1))));
+    assert_eq!(take(3), Action::Respond(Verdict::Busy(holder(1))));
 }
 
 /// No connection to the runner could be made, and the table knows. The caller's retry runs, as the
@@ -96,7 +96,7 @@
     owner.step(Event::Claim);
     assert_eq!(owner.step(Event::Written(Written::Done(1))), Action::Permit);
     let late = Instant::now() + RETENTION;
-    assert_eq!(owner.step(Event::Send(late)), Action::Hold);
+    assert_eq!(owner.step(Event::Send(late)), Action::Expire);
 }
 
 /// A claim lies abandoned for hours and is then taken over by a late retry. It is as old as its
@@ -112,5 +112,5 @@
     retry.step(Event::Claim, &mut first.shelf);
     retry.step(Event::Written(Written::Conflict(1)), &mut first.shelf);
     assert_eq!(retry.step(row(1, None), &mut first.shelf), Action::Permit);
-    assert_eq!(retry.step(Event::Send(late), &mut first.shelf), Action::Hold);
+    assert_eq!(retry.step(Event::Send(late), &mut first.shelf), Action::Expire);
 }
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -238,7 +238,7 @@
                 self.recent().note(&held.row, row.intent.holder());
                 Claim::Mine(Permit::new(held, self.shelf.clone(), self.orphans.clone()))
             }
-            Action::Say(verdict) => self.say(verdict, &held.row, why),
+            Action::Respond(verdict) => self.say(verdict, &held.row, why),
             _ => Claim::Unclear,
         }
     }
@@ -274,7 +274,7 @@
             let outcome = self.write(&held.row, &found).await.map(Event::Written);
             let event = outcome.unwrap_or_else(|error| failed(error, &mut None));
             action = step(&mut held.life, event, &self.shelf);
-            if action == Action::Rest {
+            if action == Action::Finish {
                 return true;
             }
             waits = waits.or_else(|| self.records.try_acquire().ok());
