--- a/crates/decide/src/member/message.rs
+++ b/crates/decide/src/member/message.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         id::{Incarnation, Revision},
-        mover::PeerNews,
+        mover::MoveUpdate,
     },
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
@@ -31,7 +31,7 @@
     /// gossiped.
     Claims(Vec<Claim>),
     /// State of a rollout.
-    Move(PeerNews),
+    Move(MoveUpdate),
     /// Load and failures of runners.
     Load(Load),
     /// A relayed [`PeerMessage::Load`].
--- a/crates/decide/src/mover.rs
+++ b/crates/decide/src/mover.rs
@@ -7,7 +7,7 @@
 mod asked;
 pub mod evidence;
 pub mod lease;
-pub mod news;
+pub mod update;
 pub mod next;
 pub mod record;
 pub mod schedule;
@@ -20,7 +20,6 @@
 
 pub use {
     evidence::Sample,
-    news::PeerNews,
     next::{Next, Waiting},
     record::{Move, MoveId, MoveRow},
     schedule::{Late, Weights},
@@ -28,6 +27,7 @@
     standing::{Cause, Standing, Verdict},
     status::{RouteStatus, Side, Status},
     units::{Millis, Share},
+    update::MoveUpdate,
 };
 
 use {
@@ -103,7 +103,7 @@
         commit: Commit,
     },
     /// Send to all peers at once; lost ones are made up for by the next.
-    Tell(PeerNews),
+    Broadcast(MoveUpdate),
     /// Change the catalogue's version of the entry; repeated until [`Mover::entry`] shows it.
     Adopt {
         /// Catalogue entry.
@@ -192,7 +192,7 @@
     }
 
     /// A peer's message came.
-    pub fn hear(&mut self, now: Instant, news: &PeerNews) {
+    pub fn hear(&mut self, now: Instant, news: &MoveUpdate) {
         if let Some(track) = self.tracks.get_mut(&news.entry) {
             track.hear(now, self.table.me, news);
         }
--- a/crates/decide/src/mover/track.rs
+++ b/crates/decide/src/mover/track.rs
@@ -6,11 +6,11 @@
         asked::Asked,
         evidence::{Collector, Counts, Pool, Sample},
         lease::Lease,
-        news::{Freshness, PeerNews, TELL, Verdicts},
         record::{MoveId, MoveRow},
         split::Split,
         standing::{Cause, Standing, Verdict},
         units::{Millis, Share},
+        update::{Freshness, MoveUpdate, TELL, Verdicts},
         verdict::Judge,
     },
     crate::id::Incarnation,
@@ -211,7 +211,7 @@
         }
     }
 
-    pub(super) fn hear(&mut self, now: Instant, me: Incarnation, news: &PeerNews) {
+    pub(super) fn hear(&mut self, now: Instant, me: Incarnation, news: &MoveUpdate) {
         self.fresh.hear(me, news);
         let mine = self.row.as_ref().is_some_and(|r| r.moved.id == news.id);
         if let Some(verdict) = &news.verdict
@@ -280,7 +280,7 @@
         let mine = self.collector.evidence();
         let changed = mine.sequence > self.reported;
         self.reported = mine.sequence;
-        out.push(Output::Tell(PeerNews {
+        out.push(Output::Broadcast(MoveUpdate {
             from: me,
             sequence,
             acks,
--- a/crates/decide/src/mover/news.rs
+++ b/crates/decide/src/mover/update.rs
@@ -24,7 +24,7 @@
 /// One node's message about one entry's move.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct PeerNews {
+pub struct MoveUpdate {
     /// Who says it.
     pub from: Incarnation,
     /// Its number among the sender's messages about this entry.
@@ -90,7 +90,7 @@
     }
 
     /// A peer's message came.
-    pub fn hear(&mut self, me: Incarnation, news: &PeerNews) {
+    pub fn hear(&mut self, me: Incarnation, news: &MoveUpdate) {
         let Some(acked_peer) = self.peers.get_mut(&news.from) else { return };
         acked_peer.sequence = acked_peer.sequence.max(news.sequence);
         let ack = news.acks.iter().find(|(peer, _)| *peer == me);
--- a/crates/decide/tests/mover/fake.rs
+++ b/crates/decide/tests/mover/fake.rs
@@ -4,7 +4,7 @@
     bilberryfront_decide::{
         id::Incarnation,
         mover::{
-            Millis, MoveId, MoveRow, Mover, Output, PeerNews, Split, Standing, Start, Weights,
+            Millis, MoveId, MoveRow, MoveUpdate, Mover, Output, Split, Standing, Start, Weights,
         },
     },
     bilberryfront_wire::table::{Commit, Committed, Read, Row, Rows, Written},
@@ -76,7 +76,7 @@
     Commit(u64, Commit),
     Rows(u64, Rows),
     Committed(u64, Commit, Committed),
-    News(PeerNews),
+    News(MoveUpdate),
 }
 
 struct Flight {
@@ -98,7 +98,7 @@
     /// The node got the row.
     Row { node: usize, row: &'a MoveRow },
     /// The node got a peer's news.
-    News { node: usize, news: &'a PeerNews },
+    News { node: usize, news: &'a MoveUpdate },
 }
 
 pub(crate) struct World {
@@ -239,7 +239,7 @@
             Output::Commit { number, commit } => {
                 self.fly(node, life, Packet::Commit(number, commit));
             }
-            Output::Tell(news) => {
+            Output::Broadcast(news) => {
                 let peers: Vec<usize> = (0..NODES).filter(|n| *n != node && !cut(*n)).collect();
                 for peer in peers {
                     self.fly(peer, self.lives[peer], Packet::News(news.clone()));
--- a/crates/relay/src/control/rollouts.rs
+++ b/crates/relay/src/control/rollouts.rs
@@ -8,7 +8,7 @@
         store::{Row, Store, Write},
         view::State,
     },
-    bilberryfront_decide::{member::PeerMessage, mover::PeerNews},
+    bilberryfront_decide::{member::PeerMessage, mover::MoveUpdate},
     compact_str::CompactString,
     tokio::time::Instant,
 };
@@ -45,7 +45,7 @@
         }
     }
 
-    fn broadcast_rollout(&self, news: PeerNews) {
+    fn broadcast_rollout(&self, news: MoveUpdate) {
         if let Some(membership) = &self.membership {
             membership.broadcast(&PeerMessage::Move(news));
         }
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -15,7 +15,7 @@
     crate::view::Splits,
     bilberryfront_decide::{
         id::Incarnation,
-        mover::{Choice, PeerNews, Sample},
+        mover::{Choice, MoveUpdate, Sample},
     },
     compact_str::CompactString,
     std::{collections::BTreeMap, sync::Arc, time::Duration},
@@ -116,7 +116,7 @@
     }
 
     /// Applies a peer's message.
-    pub fn handle_peer_update(&mut self, now: Instant, news: &PeerNews) {
+    pub fn handle_peer_update(&mut self, now: Instant, news: &MoveUpdate) {
         if let Some(track) = self.tracks.get_mut(&news.entry) {
             track.handle_peer_update(now, news);
         }
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -7,7 +7,7 @@
         chart::Chart,
         id::Incarnation,
         mover::{
-            MoveId, PeerNews, Sample,
+            MoveId, MoveUpdate, Sample,
             evidence::{Collector, Counts, Pool, TOLERANCE, Tally},
             standing::{Cause, Verdict},
             verdict::Judge,
@@ -78,7 +78,7 @@
         expected: u64,
     },
     /// Send to all peers.
-    Tell(PeerNews),
+    Tell(MoveUpdate),
 }
 
 pub(super) struct Track {
@@ -160,7 +160,7 @@
         }
     }
 
-    pub(super) fn handle_peer_update(&mut self, now: Instant, news: &PeerNews) {
+    pub(super) fn handle_peer_update(&mut self, now: Instant, news: &MoveUpdate) {
         if news.id != self.id() {
             return;
         }
@@ -253,7 +253,7 @@
         self.start + self.order.time.mul_f64(part)
     }
 
-    fn report(&mut self, now: Instant) -> Option<PeerNews> {
+    fn report(&mut self, now: Instant) -> Option<MoveUpdate> {
         let sequence = self.collector.evidence().sequence;
         let open = self.phase == Phase::Canary || !self.is_over();
         if now < self.report_at || !open || (sequence == self.reported && self.verdict.is_none()) {
@@ -262,7 +262,7 @@
         self.report_at = now + REPORT_EVERY;
         self.reported = sequence;
         self.sequence += 1;
-        Some(PeerNews {
+        Some(MoveUpdate {
             from: self.me,
             sequence: self.sequence,
             acks: Vec::new(),
--- a/crates/relay/tests/rollouts.rs
+++ b/crates/relay/tests/rollouts.rs
@@ -3,7 +3,7 @@
 use {
     bilberryfront_decide::{
         id::Incarnation,
-        mover::{Cause, MoveId, PeerNews, Verdict},
+        mover::{Cause, MoveId, MoveUpdate, Verdict},
     },
     bilberryfront_relay::{
         rollouts::{
@@ -55,7 +55,7 @@
     revision: u64,
     store_down: bool,
     finals: u32,
-    news: Vec<(usize, PeerNews)>,
+    news: Vec<(usize, MoveUpdate)>,
     /// Requests after the order, and those of the new version.
     all: u32,
     new: u32,
@@ -261,7 +261,7 @@
 async fn the_stores_first_final_word_counts() {
     let mut node = Rollouts::new(Incarnation(9));
     node.order(Instant::now(), 10, order());
-    let news = PeerNews {
+    let news = MoveUpdate {
         from: Incarnation(1),
         sequence: 1,
         acks: Vec::new(),
--- a/src/control/moves.rs
+++ b/src/control/moves.rs
@@ -4,7 +4,7 @@
 mod task;
 
 use {
-    bilberryfront_decide::mover::{Choice, MoveError, MoveId, PeerNews, Sample, Start, Status},
+    bilberryfront_decide::mover::{Choice, MoveError, MoveId, MoveUpdate, Sample, Start, Status},
     compact_str::CompactString,
     std::time::Duration,
     tokio::sync::{mpsc, oneshot},
@@ -20,7 +20,7 @@
     /// A request ended on its first attempt.
     Ended(Trial, Ended),
     /// A peer's message came.
-    News(PeerNews),
+    News(MoveUpdate),
     /// An operator starts a move.
     Start(Start, oneshot::Sender<Result<MoveId>>),
     /// An operator takes an entry's move back.
@@ -88,7 +88,7 @@
     }
 
     /// A peer's message came.
-    pub fn hear(&self, news: PeerNews) {
+    pub fn hear(&self, news: MoveUpdate) {
         self.send(Message::News(news));
     }
 
--- a/src/control/moves/task.rs
+++ b/src/control/moves/task.rs
@@ -15,7 +15,7 @@
         catalog::Entry,
         id::{EntryKey, Incarnation, Revision},
         member::{Node, PeerMessage, Target, message::NodeState},
-        mover::{MoveId, Mover, Output, PeerNews, Split, Standing},
+        mover::{MoveId, MoveUpdate, Mover, Output, Split, Standing},
     },
     bilberryfront_wire::table::{Committed, Rows},
     compact_str::{CompactString, format_compact},
@@ -186,7 +186,7 @@
                     _ = sender.send(Answer::Committed(number, table.commit(&commit).await.ok()));
                 });
             }
-            Output::Tell(news) => self.tell(view, news),
+            Output::Broadcast(news) => self.tell(view, news),
             Output::Adopt { entry, version } if !mem::replace(&mut self.adopting, true) => {
                 tokio::spawn(async move {
                     let store = Store::new(table);
@@ -202,7 +202,7 @@
         }
     }
 
-    fn tell(&self, view: &View, news: PeerNews) {
+    fn tell(&self, view: &View, news: MoveUpdate) {
         let nodes = view.nodes.iter().filter(|n| n.state != NodeState::Forgotten);
         let target = |n: &Node| {
             let address = n.location.as_ref()?.peer.clone();
