--- a/crates/decide/src/mover/next.rs
+++ b/crates/decide/src/mover/next.rs
@@ -124,7 +124,7 @@
     let hold = moved.steps[step].hold;
     let least = if next == Next::Settle { MIN_SOAK } else { MIN_HOLD };
     let hold = if pressed { hold.min(least.as_millis() as Millis) } else { hold };
-    let waiting = if track.judge.suspects(now) {
+    let waiting = if track.judge.is_suspect(now) {
         Waiting::Suspicion
     } else if let Some(runners) = runners(track, &next) {
         runners
--- a/crates/decide/src/mover/track.rs
+++ b/crates/decide/src/mover/track.rs
@@ -11,7 +11,7 @@
         standing::{Cause, Standing, Verdict},
         units::{Millis, Share},
         update::{Freshness, MoveUpdate, TELL, Verdicts},
-        verdict::Judge,
+        verdict::SequentialTest,
     },
     crate::id::Incarnation,
     compact_str::CompactString,
@@ -51,7 +51,7 @@
     pub(super) step_base: u32,
     pub(super) lease: Lease,
     pub(super) fresh: Freshness,
-    pub(super) judge: Judge,
+    pub(super) judge: SequentialTest,
     pub(super) wanted: Option<Wanted>,
     pool: Pool,
     pub(super) routes: BTreeMap<CompactString, Counts>,
@@ -80,7 +80,7 @@
             step_base: 0,
             lease: Lease::default(),
             fresh,
-            judge: Judge::new(now, Duration::ZERO),
+            judge: SequentialTest::new(now, Duration::ZERO),
             wanted: None,
             pool: Pool::default(),
             routes: BTreeMap::new(),
@@ -120,7 +120,7 @@
         match &self.standing {
             Standing::Moving(_) => {
                 let share = moved.share(&self.standing);
-                let suspected = self.judge.suspects(now);
+                let suspected = self.judge.is_suspect(now);
                 let share = if suspected { share.min(SUSPECT_SHARE) } else { share };
                 Some(split(share, Some(self.fresh.until()?)))
             }
@@ -159,7 +159,7 @@
             self.pool = Pool::default();
             self.collector.renew();
             self.reported = 0;
-            self.judge = Judge::new(now, millis(row.moved.by.saturating_sub(wall)));
+            self.judge = SequentialTest::new(now, millis(row.moved.by.saturating_sub(wall)));
             self.routes.clear();
             self.standing = Standing::Moving(0);
         }
@@ -250,8 +250,8 @@
             if let Some(routes) = self.pool.news() {
                 self.routes = routes;
             }
-            let found = self.judge.look(now, &self.routes, self.fresh.nodes());
-            if self.judge.suspects(now) {
+            let found = self.judge.evaluate(now, &self.routes, self.fresh.nodes());
+            if self.judge.is_suspect(now) {
                 self.step_since = now;
                 self.step_base = self.served();
             }
--- a/crates/decide/src/mover/verdict.rs
+++ b/crates/decide/src/mover/verdict.rs
@@ -89,7 +89,7 @@
 
 /// Judges one move.
 #[derive(Clone, Debug)]
-pub struct Judge {
+pub struct SequentialTest {
     began: Instant,
     epoch: u32,
     length: Duration,
@@ -98,11 +98,11 @@
     hold: Duration,
 }
 
-impl Judge {
+impl SequentialTest {
     /// A judge of a move that began at `now` and has `time` until its deadline.
-    pub fn new(now: Instant, time: Duration) -> Judge {
+    pub fn new(now: Instant, time: Duration) -> SequentialTest {
         let length = (time / EPOCHS).max(Duration::from_secs(1));
-        Judge {
+        SequentialTest {
             began: now,
             epoch: 0,
             length,
@@ -113,7 +113,7 @@
     }
 
     /// Looks at the evidence by route, as one of `nodes` nodes that do so.
-    pub fn look(
+    pub fn evaluate(
         &mut self,
         now: Instant,
         routes: &BTreeMap<CompactString, Counts>,
@@ -160,7 +160,7 @@
 
     /// Whether the new version looks bad, without the proof yet: it then gets a smaller share, at
     /// which the old version's part of the requests is large enough to compare soon.
-    pub fn suspects(&self, now: Instant) -> bool {
+    pub fn is_suspect(&self, now: Instant) -> bool {
         self.suspected.is_some_and(|until| now < until)
     }
 
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -10,7 +10,7 @@
             MoveId, MoveUpdate, Sample,
             evidence::{Collector, Counts, Pool, TOLERANCE, Tally},
             standing::{Cause, Verdict},
-            verdict::Judge,
+            verdict::SequentialTest,
         },
     },
     compact_str::CompactString,
@@ -92,7 +92,7 @@
     collector: Collector,
     pool: Pool,
     routes: BTreeMap<CompactString, Counts>,
-    judge: Judge,
+    judge: SequentialTest,
     verdict: Option<Verdict>,
     /// Time of the verdict.
     decided_at: Instant,
@@ -115,7 +115,7 @@
             collector: Collector::default(),
             pool: Pool::default(),
             routes: BTreeMap::new(),
-            judge: Judge::new(now, order.time),
+            judge: SequentialTest::new(now, order.time),
             verdict: None,
             decided_at: now,
             runners: 0,
@@ -219,7 +219,7 @@
         if let Some(routes) = self.pool.news() {
             self.routes = routes;
         }
-        let found = self.judge.look(now, &self.routes, nodes);
+        let found = self.judge.evaluate(now, &self.routes, nodes);
         if let Some(found) = found {
             let verdict = Verdict { cause: found.cause, route: found.route, node: self.me };
             return self.roll_back(now, verdict);
@@ -232,7 +232,7 @@
 
     /// Whether the new version is healthy on at least `need` requests.
     fn is_healthy(&self, now: Instant, need: u32) -> bool {
-        let suspect = self.judge.suspects(now) && self.is_worse();
+        let suspect = self.judge.is_suspect(now) && self.is_worse();
         self.runners > 0 && !suspect && self.served() >= need
     }
 
