--- a/crates/decide/src/mover/evidence.rs
+++ b/crates/decide/src/mover/evidence.rs
@@ -235,15 +235,15 @@
 
 /// All nodes' counters for one move.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Pool {
+pub struct PooledEvidence {
     nodes: BTreeMap<Incarnation, Evidence>,
     changed: bool,
 }
 
-impl Pool {
+impl PooledEvidence {
     /// Takes a node's counters unless newer ones of that node are known. Repeated and reordered
     /// messages change nothing.
-    pub fn absorb(&mut self, node: Incarnation, evidence: &Evidence) {
+    pub fn merge(&mut self, node: Incarnation, evidence: &Evidence) {
         let room = self.nodes.len() < NODES || self.nodes.contains_key(&node);
         if !room || !evidence.is_bounded() {
             return;
@@ -256,7 +256,7 @@
     }
 
     /// The sum over nodes by route, if it changed since the last call.
-    pub fn news(&mut self) -> Option<BTreeMap<CompactString, Counts>> {
+    pub fn take_changed(&mut self) -> Option<BTreeMap<CompactString, Counts>> {
         std::mem::take(&mut self.changed).then(|| self.routes())
     }
 
--- a/crates/decide/src/mover/track.rs
+++ b/crates/decide/src/mover/track.rs
@@ -4,7 +4,7 @@
     super::{
         MoveError, Output, Table,
         asked::Asked,
-        evidence::{Collector, Counts, Pool, Sample},
+        evidence::{Collector, Counts, PooledEvidence, Sample},
         lease::Lease,
         record::{MoveId, MoveRow},
         split::Split,
@@ -53,7 +53,7 @@
     pub(super) fresh: Freshness,
     pub(super) judge: SequentialTest,
     pub(super) wanted: Option<Wanted>,
-    pool: Pool,
+    pool: PooledEvidence,
     pub(super) routes: BTreeMap<CompactString, Counts>,
     collector: Collector,
     verdicts: Verdicts,
@@ -82,7 +82,7 @@
             fresh,
             judge: SequentialTest::new(now, Duration::ZERO),
             wanted: None,
-            pool: Pool::default(),
+            pool: PooledEvidence::default(),
             routes: BTreeMap::new(),
             collector: Collector::default(),
             verdicts: Verdicts::default(),
@@ -156,7 +156,7 @@
         let same = self.row.as_ref().is_some_and(|r| r.moved.id == id);
         let before = self.standing.clone();
         if !same {
-            self.pool = Pool::default();
+            self.pool = PooledEvidence::default();
             self.collector.renew();
             self.reported = 0;
             self.judge = SequentialTest::new(now, millis(row.moved.by.saturating_sub(wall)));
@@ -225,7 +225,7 @@
         }
         self.join_verdict(news.id);
         if let Some(evidence) = &news.evidence {
-            self.pool.absorb(news.from, evidence);
+            self.pool.merge(news.from, evidence);
         }
     }
 
@@ -246,8 +246,8 @@
         let by = row.moved.by;
         if now >= self.look_at {
             self.look_at = now + LOOK;
-            self.pool.absorb(table.me, self.collector.evidence());
-            if let Some(routes) = self.pool.news() {
+            self.pool.merge(table.me, self.collector.evidence());
+            if let Some(routes) = self.pool.take_changed() {
                 self.routes = routes;
             }
             let found = self.judge.evaluate(now, &self.routes, self.fresh.nodes());
--- a/crates/decide/tests/mover/lattice.rs
+++ b/crates/decide/tests/mover/lattice.rs
@@ -5,7 +5,7 @@
         id::Incarnation,
         mover::{
             Cause, Choice, Move, MoveId, Sample, Share, Standing, Verdict, Weights,
-            evidence::{Collector, Evidence, Pool},
+            evidence::{Collector, Evidence, PooledEvidence},
             schedule::Step,
         },
     },
@@ -135,8 +135,8 @@
             .map(|(n, e)| (Incarnation(u64::from(n % 4)), u64::from(e % 8)))
             .collect();
         let pool = |order: &mut dyn Iterator<Item = &(Incarnation, u64)>| {
-            let mut pool = Pool::default();
-            order.for_each(|(node, count)| pool.absorb(*node, &evidence(*count)));
+            let mut pool = PooledEvidence::default();
+            order.for_each(|(node, count)| pool.merge(*node, &evidence(*count)));
             pool.routes()
         };
         let there = pool(&mut order.iter());
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -8,7 +8,7 @@
         id::Incarnation,
         mover::{
             MoveId, MoveUpdate, Sample,
-            evidence::{Collector, Counts, Pool, TOLERANCE, Tally},
+            evidence::{Collector, Counts, PooledEvidence, TOLERANCE, Tally},
             standing::{Cause, Verdict},
             verdict::SequentialTest,
         },
@@ -90,7 +90,7 @@
     /// Revision of the stored status, and its phase if it belongs to this rollout.
     recorded: (u64, Option<Phase>),
     collector: Collector,
-    pool: Pool,
+    pool: PooledEvidence,
     routes: BTreeMap<CompactString, Counts>,
     judge: SequentialTest,
     verdict: Option<Verdict>,
@@ -113,7 +113,7 @@
             phase: CHART.initial(),
             recorded: (0, None),
             collector: Collector::default(),
-            pool: Pool::default(),
+            pool: PooledEvidence::default(),
             routes: BTreeMap::new(),
             judge: SequentialTest::new(now, order.time),
             verdict: None,
@@ -165,7 +165,7 @@
             return;
         }
         if let Some(evidence) = &news.evidence {
-            self.pool.absorb(news.from, evidence);
+            self.pool.merge(news.from, evidence);
         }
         if let Some(verdict) = &news.verdict {
             self.roll_back(now, verdict.clone());
@@ -215,8 +215,8 @@
             return;
         }
         self.evaluate_at = now + EVALUATE_EVERY;
-        self.pool.absorb(self.me, self.collector.evidence());
-        if let Some(routes) = self.pool.news() {
+        self.pool.merge(self.me, self.collector.evidence());
+        if let Some(routes) = self.pool.take_changed() {
             self.routes = routes;
         }
         let found = self.judge.evaluate(now, &self.routes, nodes);
