--- a/crates/decide/src/mover.rs
+++ b/crates/decide/src/mover.rs
@@ -22,7 +22,7 @@
     evidence::Sample,
     next::{Next, Waiting},
     record::{Move, MoveId, MoveRow},
-    schedule::{Late, Weights},
+    schedule::{DeadlineTooClose, Weights},
     split::{Choice, Split},
     standing::{Cause, Standing, Verdict},
     status::{RouteStatus, Side, Status},
@@ -82,7 +82,7 @@
     Over,
     /// The deadline is too close.
     #[error(transparent)]
-    Late(#[from] Late),
+    Late(#[from] DeadlineTooClose),
 }
 
 /// Something to be done for a move.
--- a/crates/decide/src/mover/schedule.rs
+++ b/crates/decide/src/mover/schedule.rs
@@ -6,8 +6,8 @@
     std::time::Duration,
 };
 
-/// A result whose error is [`Late`].
-pub type Result<T> = std::result::Result<T, Late>;
+/// A result whose error is [`DeadlineTooClose`].
+pub type Result<T> = std::result::Result<T, DeadlineTooClose>;
 
 /// Requests of the new version that a step wants to have seen end.
 pub const NEED: u32 = 24;
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("the evidence takes {} s", earliest.as_secs())]
-pub struct Late {
+pub struct DeadlineTooClose {
     /// Shortest time from now that would do.
     pub earliest: Duration,
 }
@@ -107,7 +107,7 @@
     let spare = whole - used;
     let short = holds.clone();
     if spare < 0.0 && !force {
-        return Err(Late { earliest: earliest(rate, weights) });
+        return Err(DeadlineTooClose { earliest: earliest(rate, weights) });
     }
     if spare < 0.0 {
         let shrink = whole / used;
