--- a/crates/decide/src/mover.rs
+++ b/crates/decide/src/mover.rs
@@ -104,7 +104,7 @@
     },
     /// Send to all peers at once; lost ones are made up for by the next.
     Broadcast(MoveUpdate),
-    /// Change the catalogue's version of the entry; repeated until [`Mover::entry`] shows it.
+    /// Change the catalogue's version of the entry; repeated until [`Mover::set_version`] shows it.
     Adopt {
         /// Catalogue entry.
         entry: CompactString,
@@ -166,19 +166,19 @@
     }
 
     /// The other nodes, as the instance list has them.
-    pub fn peers(&mut self, peers: &[Incarnation]) {
+    pub fn set_peers(&mut self, peers: &[Incarnation]) {
         self.peers = peers.iter().copied().filter(|p| *p != self.table.me).collect();
         self.tracks.values_mut().for_each(|t| t.fresh.set_peers(&self.peers));
     }
 
     /// The catalogue in force has this entry at this version.
-    pub fn entry(&mut self, now: Instant, entry: &str, version: &str) {
+    pub fn set_version(&mut self, now: Instant, entry: &str, version: &str) {
         let new = || Track::new(now, entry.into(), &self.peers);
         self.tracks.entry(entry.into()).or_insert_with(new).version = version.into();
     }
 
     /// Live runners of an entry at the old and the new version of its move.
-    pub fn fleet(&mut self, entry: &str, old: u32, new: u32) {
+    pub fn set_runner_counts(&mut self, entry: &str, old: u32, new: u32) {
         if let Some(track) = self.tracks.get_mut(entry) {
             track.fleet = Some([old, new]);
         }
@@ -192,7 +192,7 @@
     }
 
     /// A peer's message came.
-    pub fn hear(&mut self, now: Instant, news: &MoveUpdate) {
+    pub fn receive(&mut self, now: Instant, news: &MoveUpdate) {
         if let Some(track) = self.tracks.get_mut(&news.entry) {
             track.hear(now, self.table.me, news);
         }
--- a/crates/decide/tests/mover/fake.rs
+++ b/crates/decide/tests/mover/fake.rs
@@ -155,8 +155,8 @@
     fn mover(&self, me: Incarnation, seed: u64) -> Mover {
         let wall = WALL + (self.now - self.zero).as_millis() as Millis;
         let mut mover = Mover::new(me, seed ^ (me.0 << 32), self.now, wall);
-        mover.peers(&self.lives);
-        mover.entry(self.now, ENTRY, &self.catalog);
+        mover.set_peers(&self.lives);
+        mover.set_version(self.now, ENTRY, &self.catalog);
         mover
     }
 
@@ -190,7 +190,7 @@
         self.lives[node] = Incarnation(self.lives[node].0 + 100);
         self.movers[node] = self.mover(self.lives[node], self.lives[node].0);
         self.paused[node] = self.now;
-        self.movers.iter_mut().for_each(|m| m.peers(&self.lives));
+        self.movers.iter_mut().for_each(|m| m.set_peers(&self.lives));
     }
 
     /// Goes on by one step.
@@ -232,7 +232,7 @@
             Output::Adopt { version, .. } => {
                 self.catalog = version;
                 let movers = self.movers.iter_mut();
-                movers.for_each(|m| m.entry(self.now, ENTRY, &self.catalog));
+                movers.for_each(|m| m.set_version(self.now, ENTRY, &self.catalog));
             }
             _ if cut(node) => {}
             Output::Read { number, read } => self.fly(node, life, Packet::Read(number, read)),
@@ -294,7 +294,7 @@
             }
             Packet::News(news) => {
                 seen(Seen::News { node, news: &news });
-                self.movers[node].hear(self.now, &news);
+                self.movers[node].receive(self.now, &news);
             }
         }
     }
--- a/crates/decide/tests/mover/store.rs
+++ b/crates/decide/tests/mover/store.rs
@@ -38,7 +38,7 @@
     assert!(drive.until(250, soon));
     drive.world.held = Some((old, drive.world.now + Duration::from_secs(20)));
     let others = (0..NODES).filter(|n| *n != old);
-    others.for_each(|n| drive.world.movers[n].fleet(ENTRY, 20, 0));
+    others.for_each(|n| drive.world.movers[n].set_runner_counts(ENTRY, 20, 0));
     assert!(drive.until(18, |d| d.holder().is_some_and(|h| h != old)));
     drive.run(20);
     assert_eq!(drive.world.standing(), Some(Standing::Moving(0)));
--- a/src/control/moves/task.rs
+++ b/src/control/moves/task.rs
@@ -102,7 +102,7 @@
             Message::Ended(trial, ended) => {
                 self.mover.observe(now, &trial.entry, &trial.sample(&ended));
             }
-            Message::News(news) => self.mover.hear(now, &news),
+            Message::News(news) => self.mover.receive(now, &news),
             Message::Start(start, answer) => match self.mover.start(now, &start) {
                 Ok(id) => _ = self.starts.insert(id, answer),
                 Err(error) => _ = answer.send(Err(error)),
@@ -145,14 +145,14 @@
         if view.catalog.revision > self.revision {
             self.revision = view.catalog.revision;
             for entry in view.catalog.entries.values() {
-                self.mover.entry(now, &entry.name, &entry.version);
+                self.mover.set_version(now, &entry.name, &entry.version);
             }
         }
         if self.counted.is_some_and(|at| now < at + COUNT_EVERY) {
             return;
         }
         self.counted = Some(now);
-        self.mover.peers(&peers(view));
+        self.mover.set_peers(&peers(view));
         for entry in view.catalog.entries.values() {
             let Some(status) = self.mover.status(now, &entry.name) else { continue };
             let count = |version: &str| {
@@ -160,7 +160,7 @@
                 runners.filter(|r| r.entry == entry.name && r.version == version).count() as u32
             };
             let (old, new) = (count(&status.moved.from), count(&status.moved.to));
-            self.mover.fleet(&entry.name, old, new);
+            self.mover.set_runner_counts(&entry.name, old, new);
             self.note(&entry.name, status.standing);
         }
     }
