--- a/crates/decide/examples/gossip.rs
+++ b/crates/decide/examples/gossip.rs
@@ -10,7 +10,7 @@
         id::Incarnation,
         member::{
             Me, Members, Output, PeerMessage,
-            message::{CatalogPush, Life, NodeLocation, Usage},
+            message::{CatalogPush, NodeIncarnation, NodeLocation, Usage},
         },
     },
     bilberryfront_wire::instance::{Instance, InstanceList},
@@ -41,7 +41,10 @@
         let now = Instant::now();
         let list = InstanceList { revision: 1, instances: (0..n).map(instance).collect() };
         let start = |(i, node): (usize, &Instance)| {
-            let life = Life { epoch: 1_764_720_000_000, incarnation: Incarnation(i as u64 + 1) };
+            let life = NodeIncarnation {
+                epoch: 1_764_720_000_000,
+                incarnation: Incarnation(i as u64 + 1),
+            };
             let peer = node.peer.clone().unwrap_or_default();
             let location =
                 NodeLocation { domain: node.domain.clone(), url: node.url.clone(), peer };
--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -22,7 +22,9 @@
 use {
     self::{
         merge::Gossip,
-        message::{Claim, Heartbeat, Hint, Life, Moment, NodeLocation, NodeState, Update, Usage},
+        message::{
+            Claim, Heartbeat, Hint, Moment, NodeIncarnation, NodeLocation, NodeState, Update, Usage,
+        },
         record::Record,
         ring::Ring,
         updates::UpdateQueue,
@@ -63,7 +65,7 @@
     /// Name, as in the instance list and the certificate.
     pub name: CompactString,
     /// Incarnation: start time in milliseconds and a random number.
-    pub life: Life,
+    pub life: NodeIncarnation,
     /// Addresses.
     pub location: NodeLocation,
 }
--- a/crates/decide/src/member/message.rs
+++ b/crates/decide/src/member/message.rs
@@ -228,7 +228,7 @@
 /// epoch when it sees a newer one under its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
-pub struct Life {
+pub struct NodeIncarnation {
     /// Start time; increases with each restart.
     pub epoch: u64,
     /// Random number.
@@ -240,7 +240,7 @@
 #[derive(Deserialize, Serialize)]
 pub struct Moment {
     /// Incarnation.
-    pub life: Life,
+    pub life: NodeIncarnation,
     /// Heartbeat sequence number.
     pub beat: u64,
 }
--- a/crates/decide/src/member/record.rs
+++ b/crates/decide/src/member/record.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         ANSWER, CONFIRM, SILENCE, TOMBSTONE,
-        message::{Claim, Life, Moment, NodeLocation, NodeState, Usage},
+        message::{Claim, Moment, NodeIncarnation, NodeLocation, NodeState, Usage},
     },
     crate::{
         chart::Chart,
@@ -20,7 +20,8 @@
 });
 
 /// State before the first message.
-const NEVER: Moment = Moment { life: Life { epoch: 0, incarnation: Incarnation(0) }, beat: 0 };
+const NEVER: Moment =
+    Moment { life: NodeIncarnation { epoch: 0, incarnation: Incarnation(0) }, beat: 0 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -7,8 +7,8 @@
             Address, CONFIRM, MESH_INTERVAL, Me, Members, Output, PeerMessage, SILENCE, TOMBSTONE,
             Target,
             message::{
-                Claim, Heartbeat, Hint, HintKind, Life, Moment, NodeLocation, NodeState, Update,
-                Usage,
+                Claim, Heartbeat, Hint, HintKind, Moment, NodeIncarnation, NodeLocation, NodeState,
+                Update, Usage,
             },
         },
     },
@@ -29,8 +29,8 @@
     }
 }
 
-fn life(epoch: u64, incarnation: u64) -> Life {
-    Life { epoch, incarnation: Incarnation(incarnation) }
+fn life(epoch: u64, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { epoch, incarnation: Incarnation(incarnation) }
 }
 
 fn member(now: Instant, name: &str) -> Members {
@@ -55,7 +55,7 @@
     InstanceList { revision, instances: names.iter().map(instance).collect() }
 }
 
-fn heartbeat(life: Life, beat: u64, state: NodeState) -> Heartbeat {
+fn heartbeat(life: NodeIncarnation, beat: u64, state: NodeState) -> Heartbeat {
     Heartbeat {
         moment: Moment { life, beat },
         state,
--- a/crates/relay/src/control/members.rs
+++ b/crates/relay/src/control/members.rs
@@ -17,7 +17,7 @@
         id::Incarnation,
         member::{
             Address, Me, Members, Node, Output, PeerMessage,
-            message::{CatalogPush, Life, NodeLocation, NodeState},
+            message::{CatalogPush, NodeIncarnation, NodeLocation, NodeState},
         },
     },
     bilberryfront_peer::{PeerConfig, PeerError, PeerNet, Received},
@@ -98,7 +98,7 @@
         authority: authority.certificate.clone().into_bytes(),
     };
     let (net, events) = PeerNet::start(&config)?;
-    let life = Life { epoch: wall(), incarnation: Incarnation(rand::random()) };
+    let life = NodeIncarnation { epoch: wall(), incarnation: Incarnation(rand::random()) };
     let named = Me { name: me.name.clone(), life, location: location(&me) };
     let start = Instant::now();
     let members = Members::new(rand::random(), start, named);
--- a/crates/scenarios/src/node.rs
+++ b/crates/scenarios/src/node.rs
@@ -183,7 +183,7 @@
 fn me(name: &str, seed: u64) -> Me {
     let Instance { url, domain, peer, .. } = listed(name);
     let peer = peer.unwrap_or_default();
-    let life = message::Life { epoch: seed, incarnation: Incarnation(seed) };
+    let life = message::NodeIncarnation { epoch: seed, incarnation: Incarnation(seed) };
     Me { name: name.into(), life, location: message::NodeLocation { domain, url, peer } }
 }
 
--- a/examples/measure/control/state.rs
+++ b/examples/measure/control/state.rs
@@ -11,7 +11,7 @@
         id::Incarnation,
         member::{
             DrainState, Me, Members, PeerMessage,
-            message::{Claim, Heartbeat, Life, Moment, NodeState, Usage},
+            message::{Claim, Heartbeat, Moment, NodeIncarnation, NodeState, Usage},
         },
     },
     bilberryfront_wire::{
@@ -194,8 +194,8 @@
     }
 }
 
-fn life(n: usize) -> Life {
-    Life { epoch: 1_764_720_000_000, incarnation: Incarnation(n as u64 + 1) }
+fn life(n: usize) -> NodeIncarnation {
+    NodeIncarnation { epoch: 1_764_720_000_000, incarnation: Incarnation(n as u64 + 1) }
 }
 
 fn doc(accounts: usize) -> CatalogDoc {
--- a/src/node/control_thread.rs
+++ b/src/node/control_thread.rs
@@ -15,7 +15,7 @@
         Core,
         member::{
             Drain, Members,
-            message::{Life, NodeLocation},
+            message::{NodeIncarnation, NodeLocation},
         },
         mover::Mover,
         place,
@@ -119,7 +119,7 @@
         url: parts.url.clone(),
         peer: format_compact!("{address}"),
     };
-    let life = Life { epoch: wall(), incarnation: parts.incarnation };
+    let life = NodeIncarnation { epoch: wall(), incarnation: parts.incarnation };
     let me = bilberryfront_decide::member::Me { name: settings.name.clone(), life, location };
     Membership {
         members: Members::new(rand::random(), Instant::now(), me),
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -10,7 +10,7 @@
         id::Incarnation,
         member::{
             PeerMessage, Target,
-            message::{CatalogPush, Claim, Life, Moment, NodeState},
+            message::{CatalogPush, Claim, Moment, NodeIncarnation, NodeState},
         },
     },
     quinn::{Connection, Endpoint},
@@ -93,7 +93,7 @@
     let authority = authority();
     let (a, _at_a, _) = start(&authority, "a");
     let (_b, mut at_b, to_b) = start(&authority, "b");
-    let life = Life { epoch: 1, incarnation: Incarnation(2) };
+    let life = NodeIncarnation { epoch: 1, incarnation: Incarnation(2) };
     let send_leave = PeerMessage::Leave(Moment { life, beat: 3 });
     a.send(&[to_b], &send_leave).unwrap();
     a.close().await;
@@ -197,7 +197,8 @@
     });
     let (a, mut at_a, _) = start(&authority, "a");
     let (_b, mut at_b, to_b) = start(&authority, "b");
-    let moment = Moment { life: Life { epoch: 1, incarnation: Incarnation(2) }, beat: 3 };
+    let moment =
+        Moment { life: NodeIncarnation { epoch: 1, incarnation: Incarnation(2) }, beat: 3 };
     let claim = Claim { name: "n".into(), moment, state: NodeState::Ready, location: None };
     let large = PeerMessage::MembersPush(vec![claim; 2_000]);
     for _ in 0..200 {
--- a/tests/peer_codec.rs
+++ b/tests/peer_codec.rs
@@ -9,8 +9,9 @@
         member::{
             PeerMessage,
             message::{
-                CatalogPush, Claim, Heartbeat, Hint, HintKind, Life, Moment, NodeLocation,
-                NodeState, StoreReport, TableDigest, TableId, TableRow, TableUpdate, Update, Usage,
+                CatalogPush, Claim, Heartbeat, Hint, HintKind, Moment, NodeIncarnation,
+                NodeLocation, NodeState, StoreReport, TableDigest, TableId, TableRow, TableUpdate,
+                Update, Usage,
             },
         },
     },
@@ -24,7 +25,10 @@
 const COMPRESSED: u8 = 0x80;
 
 fn moment() -> Moment {
-    Moment { life: Life { epoch: 1_764_720_000_000, incarnation: Incarnation(u64::MAX) }, beat: 9 }
+    Moment {
+        life: NodeIncarnation { epoch: 1_764_720_000_000, incarnation: Incarnation(u64::MAX) },
+        beat: 9,
+    }
 }
 
 fn claim() -> Claim {
--- a/tests/peer_members.rs
+++ b/tests/peer_members.rs
@@ -7,7 +7,7 @@
         id::Incarnation,
         member::{
             Me, Members, Output, PeerMessage,
-            message::{CatalogPush, Life, NodeLocation},
+            message::{CatalogPush, NodeIncarnation, NodeLocation},
         },
     },
     bilberryfront_wire::instance::{Instance, InstanceKind, InstanceList, InstanceState},
@@ -117,7 +117,7 @@
     let instances = nets.iter().enumerate().map(|(i, (net, _))| instance(&name(i), &location(net)));
     let list = InstanceList { revision: 1, instances: instances.collect() };
     let start = |(i, (net, events)): (usize, (PeerNet, _))| {
-        let life = Life { epoch: 1, incarnation: Incarnation(i as u64) };
+        let life = NodeIncarnation { epoch: 1, incarnation: Incarnation(i as u64) };
         let now = Instant::now();
         let mut members =
             Members::new(i as u64, now, Me { name: name(i), life, location: location(&net) });
