--- a/crates/decide/examples/gossip.rs
+++ b/crates/decide/examples/gossip.rs
@@ -50,7 +50,7 @@
                 NodeLocation { domain: node.domain.clone(), url: node.url.clone(), peer };
             let me = Me { name: node.name.clone(), life, location };
             let mut members = Members::new(i as u64, now, me);
-            members.list(now, &list);
+            members.apply_list(now, &list);
             members.ready();
             members.set_usage((0..8).map(usage).collect());
             Some(members)
--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -248,7 +248,7 @@
 
     /// Applies the platform's list unless it is outdated. Unlisted nodes with heartbeats are kept;
     /// listed nodes without heartbeats are not in address responses.
-    pub fn list(&mut self, now: Instant, list: &InstanceList) {
+    pub fn apply_list(&mut self, now: Instant, list: &InstanceList) {
         if list.revision < self.list {
             return;
         }
@@ -270,7 +270,7 @@
     }
 
     /// Handles a failed connection to a node.
-    pub fn broken(&mut self, now: Instant, name: &str, out: &mut Vec<Output>) {
+    pub fn connection_failed(&mut self, now: Instant, name: &str, out: &mut Vec<Output>) {
         let Some((name, record)) = self.records.get_key_value(name) else { return };
         if record.running() {
             self.suspect(now, &name.clone(), out);
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -79,7 +79,7 @@
 /// A member `a` that has heard from `b` once.
 fn pair(now: Instant) -> Members {
     let mut a = member(now, "a");
-    a.list(now, &list(1, &["a", "b"]));
+    a.apply_list(now, &list(1, &["a", "b"]));
     a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 1, NodeState::Ready), &mut Vec::new());
     a.tick(now + MESH_INTERVAL * 2, &mut Vec::new());
     a
@@ -117,7 +117,7 @@
         let list = list(1, &names.iter().map(CompactString::as_str).collect::<Vec<_>>());
         let start = |name: &CompactString| {
             let mut member = member(now, name);
-            member.list(now, &list);
+            member.apply_list(now, &list);
             member
         };
         let members = names.iter().map(start).collect();
@@ -172,7 +172,7 @@
 fn a_listed_node_is_no_address_before_it_is_heard() {
     let now = Instant::now();
     let mut a = member(now, "a");
-    a.list(now, &list(1, &["a", "b"]));
+    a.apply_list(now, &list(1, &["a", "b"]));
     assert_eq!(state(&a, "b"), Some(NodeState::Unknown));
     assert_eq!(urls(&a), ["http://a"]);
     a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 1, NodeState::Starting), &mut Vec::new());
@@ -186,7 +186,7 @@
     let now = Instant::now();
     let mut a = member(now, "a1");
     let names = ["a1", "a2", "b1", "b2", "a3"];
-    a.list(now, &list(1, &names));
+    a.apply_list(now, &list(1, &names));
     for name in &names[1..] {
         a.on_heartbeat(now, name, &heartbeat(life(1, 1), 1, NodeState::Ready), &mut Vec::new());
     }
@@ -203,7 +203,7 @@
     let mut out = Vec::new();
     let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE, &mut out);
     assert_eq!(state(&a, "b"), Some(NodeState::Suspect));
-    a.list(now, &list(2, &["a", "b"]));
+    a.apply_list(now, &list(2, &["a", "b"]));
     run(&mut a, now, CONFIRM + STEP, &mut out);
     assert_eq!(state(&a, "b"), Some(NodeState::Gone));
     assert_eq!(urls(&a), ["http://a"]);
@@ -215,7 +215,7 @@
 fn a_node_that_is_heard_stays_though_it_is_not_listed() {
     let now = Instant::now();
     let mut a = pair(now);
-    a.list(now, &list(2, &["a"]));
+    a.apply_list(now, &list(2, &["a"]));
     a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 2, NodeState::Ready), &mut Vec::new());
     assert_eq!(urls(&a), ["http://a", "http://b"]);
 }
@@ -224,8 +224,8 @@
 fn an_older_list_is_ignored() {
     let now = Instant::now();
     let mut a = member(now, "a");
-    a.list(now, &list(2, &["a", "b"]));
-    a.list(now, &list(1, &["a", "c"]));
+    a.apply_list(now, &list(2, &["a", "b"]));
+    a.apply_list(now, &list(1, &["a", "c"]));
     assert_eq!(state(&a, "b"), Some(NodeState::Unknown));
     assert_eq!(state(&a, "c"), None);
 }
@@ -236,7 +236,7 @@
     let mut a = pair(now);
     let mut leaving = list(2, &["a", "b"]);
     leaving.instances[1].state = InstanceState::Leaving;
-    a.list(now, &leaving);
+    a.apply_list(now, &leaving);
     assert_eq!(urls(&a), ["http://a"]);
 }
 
@@ -258,7 +258,7 @@
 fn a_broken_connection_makes_a_suspect_until_it_is_heard() {
     let now = Instant::now();
     let mut a = pair(now);
-    a.broken(now, "b", &mut Vec::new());
+    a.connection_failed(now, "b", &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Suspect));
     assert_eq!(urls(&a), ["http://a", "http://b"]);
     a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 2, NodeState::Ready), &mut Vec::new());
@@ -285,7 +285,7 @@
     let now = Instant::now();
     let mut a = pair(now);
     let mut b = member(now, "b");
-    b.list(now, &list(1, &["a", "b"]));
+    b.apply_list(now, &list(1, &["a", "b"]));
     a.on_heartbeat(now, "b", &heartbeat(life(5, 5), 1, NodeState::Ready), &mut Vec::new());
     a.on_heartbeat(now, "b", &heartbeat(life(5, 5), 2, NodeState::Draining), &mut Vec::new());
     let mut out = Vec::new();
@@ -386,7 +386,7 @@
     for before in [NodeState::Draining, NodeState::Starting] {
         let start = Instant::now();
         let mut a = member(start, "a");
-        a.list(start, &list(1, &["a", "b"]));
+        a.apply_list(start, &list(1, &["a", "b"]));
         a.on_heartbeat(start, "b", &heartbeat(life(1, 1), 1, before), &mut Vec::new());
         run(&mut a, start, MESH_INTERVAL * 2 + SILENCE, &mut Vec::new());
         assert_eq!(state(&a, "b"), Some(NodeState::Suspect));
@@ -400,10 +400,10 @@
 fn the_list_corrects_the_address_of_an_unheard_node() {
     let now = Instant::now();
     let mut a = member(now, "a");
-    a.list(now, &list(1, &["a", "b"]));
+    a.apply_list(now, &list(1, &["a", "b"]));
     let mut right = list(2, &["a", "b"]);
     right.instances[1].peer = Some("10.0.0.2:2".into());
-    a.list(now, &right);
+    a.apply_list(now, &right);
     let mut out = Vec::new();
     run(&mut a, now, MESH_INTERVAL * 2, &mut out);
     let Some(Output::Send { to, .. }) = out.first() else { panic!("{out:?}") };
@@ -461,7 +461,7 @@
     let now = Instant::now();
     let mut a = pair(now);
     let mut b = member(now, "b");
-    b.list(now, &list(1, &["a", "b"]));
+    b.apply_list(now, &list(1, &["a", "b"]));
     let moment = Moment { life: life(1, 1), beat: 1 };
     a.receive(now, "b", &PeerMessage::Leave(moment), &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Gone));
@@ -539,7 +539,7 @@
     assert_eq!(state(&a, "b"), Some(NodeState::Gone));
     assert_eq!(a.usage(now).nodes, 1);
     assert_eq!(a.usage(now).running, []);
-    a.list(now, &list(2, &["a"]));
+    a.apply_list(now, &list(2, &["a"]));
     assert_eq!(a.usage(now).nodes, 0);
 }
 
@@ -548,7 +548,7 @@
     let start = Instant::now();
     let mut a = pair(start);
     let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE * 2, &mut Vec::new());
-    a.list(now, &list(2, &["a"]));
+    a.apply_list(now, &list(2, &["a"]));
     assert_eq!(state(&a, "b"), Some(NodeState::Gone));
     run(&mut a, now, TOMBSTONE + SILENCE, &mut Vec::new());
     assert_eq!(state(&a, "b"), None);
@@ -606,11 +606,11 @@
     let all: Vec<&str> = names.iter().map(CompactString::as_str).collect();
     for name in &names[OLD..] {
         let mut member = member(net.now, name);
-        member.list(net.now, &list(2, &all));
+        member.apply_list(net.now, &list(2, &all));
         net.names.push(name.clone());
         net.members.push(member);
     }
-    (0..3).for_each(|i| net.members[i].list(net.now, &list(2, &all)));
+    (0..3).for_each(|i| net.members[i].apply_list(net.now, &list(2, &all)));
     net.run(Duration::from_secs(4));
     assert_eq!(net.counts()[..OLD], [OLD + 12; OLD]);
     net.run(Duration::from_secs(2));
--- a/crates/relay/src/control/members.rs
+++ b/crates/relay/src/control/members.rs
@@ -150,7 +150,7 @@
         }
         let instances = self.listed.values().map(instance).collect();
         let list = InstanceList { revision: rows.revision, instances };
-        self.members.list(Instant::now(), &list);
+        self.members.apply_list(Instant::now(), &list);
         self.changed = true;
     }
 
@@ -181,7 +181,7 @@
     ) -> Vec<CompactString> {
         let mut out = Vec::new();
         match event {
-            Received::Broken(name) => self.members.broken(now, &name, &mut out),
+            Received::Broken(name) => self.members.connection_failed(now, &name, &mut out),
             Received::Message { from, message } => {
                 self.members.receive(now, &from, &message, &mut out);
             }
--- a/examples/measure/control/state.rs
+++ b/examples/measure/control/state.rs
@@ -67,7 +67,7 @@
         let step = micros(20, || {
             core.step(now, Event::Instances(list.clone()), &mut Vec::new());
         });
-        let told = micros(20, || members.list(now, &list));
+        let told = micros(20, || members.apply_list(now, &list));
         let bytes = text.len();
         println!("{runners:>8} {nodes:>6} {bytes:>10} {parse:>10.0} {step:>10.0} {told:>12.0}");
     }
@@ -163,7 +163,7 @@
     let first = nodes.clone().next().expect("each size has nodes");
     let me = Me { name: first.name.clone(), life: life(0), location: location(first) };
     let mut members = Members::new(1, now, me);
-    members.list(now, list);
+    members.apply_list(now, list);
     members.ready();
     let from = claims[0].name.clone();
     members.receive(now, &from, &PeerMessage::MembersPush(claims), &mut Vec::new());
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -150,7 +150,7 @@
 
     fn list(&mut self, list: &InstanceList) {
         let now = Instant::now();
-        self.members.list(now, list);
+        self.members.apply_list(now, list);
         self.published.listed();
         let listed_leaving = list.instances.iter().any(|i| {
             i.kind == InstanceKind::Node && i.name == self.name && i.state == InstanceState::Leaving
@@ -163,7 +163,7 @@
     fn receive(&mut self, received: Received, out: &mut Vec<Output>) {
         let now = Instant::now();
         match received {
-            Received::Broken(name) => self.members.broken(now, &name, out),
+            Received::Broken(name) => self.members.connection_failed(now, &name, out),
             Received::Message { message: PeerMessage::CatalogPush(push), .. } => self.take(push),
             Received::Message { message: PeerMessage::Move(updates), .. } => {
                 self.control.moves().hear(updates);
--- a/tests/peer_members.rs
+++ b/tests/peer_members.rs
@@ -56,7 +56,7 @@
                 self.members.set_revision(push.revision, out);
             }
             Received::Message { from, message } => self.members.receive(now, from, message, out),
-            Received::Broken(name) => self.members.broken(now, name, out),
+            Received::Broken(name) => self.members.connection_failed(now, name, out),
         }
     }
 
@@ -121,7 +121,7 @@
         let now = Instant::now();
         let mut members =
             Members::new(i as u64, now, Me { name: name(i), life, location: location(&net) });
-        members.list(now, &list);
+        members.apply_list(now, &list);
         members.ready();
         if i == 0 {
             members.set_revision(1, &mut Vec::new());
