--- a/crates/decide/src/chart.rs
+++ b/crates/decide/src/chart.rs
@@ -1,4 +1,4 @@
-//! State charts: data files that the code loads, checks at start and interprets.
+//! State charts: transition tables that are loaded from JSON files and validated before use.
 
 use {
     rustc_hash::{FxHashMap, FxHashSet},
@@ -9,112 +9,113 @@
 /// A result whose error is a [`ChartError`].
 pub type Result<T> = std::result::Result<T, ChartError>;
 
-/// Bounds of a type that names a chart's states or events: a plain enum.
+/// Trait alias for the fieldless enums that name a chart's states or events.
 pub trait Label: Copy + Debug + Eq + Hash + DeserializeOwned {}
 
 impl<T: Copy + Debug + Eq + Hash + DeserializeOwned> Label for T {}
 
-/// Why a chart file can't be used.
+/// An invalid chart file.
 #[derive(Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum ChartError {
-    /// Not the JSON of a chart, or a state or event that the code doesn't have.
-    #[error("chart: {0}")]
+    /// Malformed JSON, or a state or event that the enum doesn't define.
+    #[error("malformed state chart: {0}")]
     Syntax(String),
-    /// A state that no path from the initial one reaches.
-    #[error("chart: state {0} can't be reached")]
+    /// A state that can't be reached from the initial state.
+    #[error("state chart: state {0} is unreachable from the initial state")]
     Unreachable(String),
-    /// A state that is not final and has no way out.
-    #[error("chart: state {0} has no way out and is not final")]
-    Trap(String),
-    /// A final state with a way out.
-    #[error("chart: state {0} is final and has a way out")]
-    Leaky(String),
+    /// A non-final state without outgoing transitions.
+    #[error("state chart: state {0} is not final but has no outgoing transition")]
+    DeadEnd(String),
+    /// A final state with an outgoing transition.
+    #[error("state chart: state {0} is final but has an outgoing transition")]
+    FinalWithExit(String),
 }
 
-/// A checked chart over states `S` and events `E`.
+/// A validated state chart over states `S` and events `E`.
 #[derive(Clone, Debug)]
 pub struct Chart<S, E> {
     initial: S,
     finals: FxHashSet<S>,
-    arrows: FxHashMap<(S, E), S>,
+    transitions: FxHashMap<(S, E), S>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, bound = "S: DeserializeOwned, E: DeserializeOwned")]
-struct File<S, E> {
+struct ChartFile<S, E> {
     initial: S,
     #[serde(rename = "final")]
     finals: Vec<S>,
-    arrows: Vec<Arrow<S, E>>,
+    #[serde(rename = "arrows")]
+    transitions: Vec<Transition<S, E>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Arrow<S, E> {
+struct Transition<S, E> {
     from: S,
     on: E,
     to: S,
 }
 
 impl<S: Label, E: Label> Chart<S, E> {
-    /// Reads and checks a chart file.
+    /// Parses and validates a chart file.
     pub fn parse(text: &str) -> Result<Chart<S, E>> {
-        let file: File<S, E> =
+        let file: ChartFile<S, E> =
             serde_json::from_str(text).map_err(|e| ChartError::Syntax(e.to_string()))?;
         let chart = Chart {
             initial: file.initial,
             finals: file.finals.into_iter().collect(),
-            arrows: file.arrows.into_iter().map(|a| ((a.from, a.on), a.to)).collect(),
+            transitions: file.transitions.into_iter().map(|t| ((t.from, t.on), t.to)).collect(),
         };
-        chart.check()?;
+        chart.validate()?;
         Ok(chart)
     }
 
-    /// The state to start in.
+    /// Returns the initial state.
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// The state after `event`, or `None` where the chart has no arrow for it.
+    /// Returns the state after `event`, or `None` if `state` has no transition for it.
     pub fn next(&self, state: S, event: E) -> Option<S> {
-        self.arrows.get(&(state, event)).copied()
+        self.transitions.get(&(state, event)).copied()
     }
 
-    /// Whether nothing can happen any more.
+    /// Returns whether `state` is final. Final states have no outgoing transitions.
     pub fn is_final(&self, state: S) -> bool {
         self.finals.contains(&state)
     }
 
-    fn check(&self) -> Result<()> {
-        let reached = self.reached();
-        let named = self.arrows.keys().map(|(from, _)| from).chain(&self.finals);
+    fn validate(&self) -> Result<()> {
+        let reachable = self.reachable();
+        let named = self.transitions.keys().map(|(from, _)| from).chain(&self.finals);
         for &state in named {
-            if !reached.contains(&state) {
+            if !reachable.contains(&state) {
                 return Err(ChartError::Unreachable(format!("{state:?}")));
             }
         }
-        for &state in &reached {
-            let out = self.arrows.keys().any(|(from, _)| *from == state);
-            match (out, self.is_final(state)) {
-                (true, true) => return Err(ChartError::Leaky(format!("{state:?}"))),
-                (false, false) => return Err(ChartError::Trap(format!("{state:?}"))),
+        for &state in &reachable {
+            let has_exit = self.transitions.keys().any(|(from, _)| *from == state);
+            match (has_exit, self.is_final(state)) {
+                (true, true) => return Err(ChartError::FinalWithExit(format!("{state:?}"))),
+                (false, false) => return Err(ChartError::DeadEnd(format!("{state:?}"))),
                 _ => {}
             }
         }
         Ok(())
     }
 
-    fn reached(&self) -> FxHashSet<S> {
-        let mut reached = FxHashSet::from_iter([self.initial]);
-        let mut open = vec![self.initial];
-        while let Some(state) = open.pop() {
-            for (_, &to) in self.arrows.iter().filter(|((from, _), _)| *from == state) {
-                if reached.insert(to) {
-                    open.push(to);
+    fn reachable(&self) -> FxHashSet<S> {
+        let mut reachable = FxHashSet::from_iter([self.initial]);
+        let mut pending = vec![self.initial];
+        while let Some(state) = pending.pop() {
+            for (_, &to) in self.transitions.iter().filter(|((from, _), _)| *from == state) {
+                if reachable.insert(to) {
+                    pending.push(to);
                 }
             }
         }
-        reached
+        reachable
     }
 }
--- a/crates/decide/src/intent.rs
+++ b/crates/decide/src/intent.rs
@@ -1,8 +1,9 @@
-//! Non-idempotent calls run at most once, by intents recorded in the table.
+//! At-most-once execution of non-idempotent calls, through intents recorded in the table.
 //!
 //! A call's row is inserted if absent, and only the claim whose insert took effect may send the
-//! call, once. Ownership never moves to another node, so no pause, lease lapse or partition can
-//! make two senders. [`RequestLifecycle`] is one request's way through this: events in, one action out.
+//! call, once. Ownership never moves to another node, so no pause, lease expiry or partition can
+//! result in two senders. [`RequestLifecycle`] is the state machine of one request: each event
+//! results in one action.
 
 use {
     crate::chart::Chart,
@@ -23,172 +24,174 @@
     row::{Answer, Holder, Intent, Outcome, Owner, StoredBody},
 };
 
-/// How long after its claim a call may be sent. Rows are swept after [`RETENTION`]; an owner that
-/// was paused until then and still sent would meet a second owner of the same key.
+/// Time after its claim within which a call may be sent. Rows are deleted after [`RETENTION`], and
+/// the key can then be claimed again; an owner that was paused until then and still sent would run
+/// the call a second time.
 pub const SEND_WITHIN: Duration = Duration::from_secs(600);
-/// How long after its claim an outcome may be recorded. A swept row's revisions start anew, so a
-/// later write could hit the row of the key's next owner.
+/// Time after its claim within which an outcome may be recorded. The revisions of a deleted row
+/// start over, so a later write could overwrite the row of the key's next owner.
 pub const RECORD_WITHIN: Duration = Duration::from_secs(12 * 3600);
-/// Age at which a row may be deleted. A retry that comes later is a new call.
+/// Age at which a row may be deleted. A retry after that is a new call.
 pub const RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// Where a request is, as in `charts/action.json`.
+/// State of a request, as in `charts/action.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Nothing done yet.
+    /// Initial state.
     Idle,
-    /// The insert is under way.
+    /// Inserting the row.
     Claiming,
-    /// The row is being read.
+    /// Reading the row.
     Looking,
-    /// A new generation of a call that was not run is being written.
+    /// Writing a new generation of a call that was not run.
     Taking,
-    /// May send, has not.
+    /// Permitted to send, but not sent yet.
     Owned,
-    /// Bytes may have left.
+    /// Bytes may have been sent.
     Sending,
-    /// The outcome is being written.
+    /// Writing the outcome.
     Recording,
     /// The outcome is in the table.
     Settled,
     /// The outcome could not be written.
     Unrecorded,
-    /// Another claim owns the call and has recorded no outcome.
+    /// Another claim owns the call and has not recorded an outcome.
     Busy,
-    /// The key belongs to another body.
+    /// The key was used with a different body.
     Mismatched,
     /// Not recorded and never sent.
     Refused,
-    /// Perhaps recorded, and never sent by this request.
+    /// Possibly recorded, but never sent by this request.
     Abandoned,
 }
 
-/// What moves a request, as in `charts/action.json`.
+/// Event of `charts/action.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Label {
-    /// Asked to claim.
+    /// The caller asked for a claim.
     Claim,
-    /// Asked to read only.
+    /// The caller asked for a read only.
     Look,
     /// The write took effect.
     Done,
-    /// The row was not as expected.
+    /// The row didn't have the expected revision.
     Conflict,
-    /// The reply was lost.
+    /// The reply was lost; the operation may have taken effect.
     Lost,
-    /// The table did nothing.
+    /// The table is unavailable; the operation had no effect.
     Down,
-    /// The row is this request's, or a claim that it may take over.
+    /// The row holds this request's claim, or one that it may take over.
     Mine,
-    /// The row says that the call was not run.
+    /// The row records that the call was not run.
     Vacant,
-    /// No row, and nothing of ours can be under way.
+    /// There is no row, and no write of this request can be pending.
     Vanished,
     /// The row has an outcome.
     Outcome,
-    /// The row is another's and has no outcome.
+    /// The row holds another claim without an outcome.
     Taken,
-    /// The row belongs to another body.
+    /// The row has the digest of a different body.
     Mismatch,
-    /// Our write, whose reply was lost, is not in the table (yet).
+    /// A write of this request whose reply was lost is not in the table, or not yet.
     Absent,
-    /// The request is about to leave.
+    /// The request is about to be sent.
     Send,
-    /// The exchange with the runner is over.
+    /// The exchange with the runner has ended.
     End,
-    /// No more tries to record.
+    /// The outcome won't be retried, or must not be recorded any more.
     GiveUp,
 }
 
-/// The chart of a call, checked when first used.
+/// Returns the state chart of a request; it is validated on first use.
 pub fn chart() -> &'static Chart<State, Label> {
     static CHART: LazyLock<Chart<State, Label>> = LazyLock::new(|| {
         let text = include_str!("../../../charts/action.json");
-        Chart::parse(text).expect("charts/action.json is part of the program")
+        Chart::parse(text).expect("charts/action.json is valid")
     });
     &CHART
 }
 
-/// Result of a claim.
+/// Input of [`RequestLifecycle::step`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Claim the call: insert first.
+    /// Claim the call, starting with the insert.
     Claim,
-    /// See what became of a call that was busy: read first.
+    /// Check on a call that was busy, starting with a read.
     Look,
-    /// The table answered a write.
+    /// The table replied to a write.
     Written(Written),
-    /// The table answered a read.
+    /// The table replied to a read.
     Row(Option<IntentRow>),
-    /// The table answered neither.
+    /// A write or a read failed.
     Failed(Fault),
-    /// The request is about to leave, now.
+    /// The request is about to be sent, at this time.
     Send(Instant),
-    /// The exchange with the runner ended like this, now.
+    /// The exchange with the runner ended with this outcome at this time.
     End(Outcome, Instant),
-    /// Stop trying to record.
+    /// Stop retrying to record the outcome.
     GiveUp,
 }
 
-/// A row as read.
+/// A call's row, as read or to be written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntentRow {
-    /// Its revision.
+    /// Revision read, or expected by the write.
     pub revision: RowRevision,
-    /// Its value.
+    /// Value.
     pub intent: Intent,
 }
 
-/// Why the table gave no answer.
+/// Failure of a read or write of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It did nothing.
+    /// The operation had no effect.
     Down,
-    /// It may have done it.
+    /// The reply was lost; the operation may have taken effect.
     Lost,
 }
 
-/// What a request wants done.
+/// Result of [`RequestLifecycle::step`], to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Write the call's row if it has this revision.
     Write(IntentRow),
     /// Read the call's row.
     Read,
-    /// The call may be sent: step with [`Event::Send`] right before.
+    /// The call may be sent; step with [`Event::Send`] right before sending.
     Permit,
-    /// Send it, now.
+    /// Send the call now.
     Send,
-    /// Too late to send; end with [`Outcome::NotRun`].
+    /// The claim is too old to send; step with [`Event::End`] and [`Outcome::NotRun`].
     Expire,
-    /// Answer the request.
+    /// Respond to the caller without sending.
     Respond(Verdict),
-    /// All is done.
+    /// Nothing is left to do.
     Finish,
-    /// The event doesn't fit the state: a duplicate.
+    /// The event has no transition in this state, such as a duplicate.
     Ignore,
 }
 
-/// An answer without sending.
+/// Response to a request that is not sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The recorded outcome, never [`Outcome::NotRun`].
     Outcome(Outcome),
-    /// This claim owns it and has recorded no outcome.
+    /// This claim owns the call and has not recorded an outcome.
     Busy(Holder),
-    /// The key belongs to another body.
+    /// The key was used with a different body.
     Mismatch,
-    /// This request reached no runner and won't.
+    /// This request was not sent to a runner and won't be.
     NotRun,
-    /// This request reached no runner and won't; whether another with its key did is not known.
+    /// This request was not sent to a runner and won't be; whether another one with its key was is
+    /// unknown.
     Unclear,
 }
 
-/// What a row says of a call to a request that won't claim it.
+/// Returns the response to a request that doesn't claim the call, from the call's row.
 pub fn peek(row: Option<&Intent>, digest: &str) -> Verdict {
     let Some(intent) = row else { return Verdict::NotRun };
     if intent.digest != digest {
@@ -201,7 +204,7 @@
     }
 }
 
-/// One request's way from its claim to its outcome.
+/// State machine of one request, from its claim to its outcome.
 #[derive(Clone, Debug)]
 pub struct RequestLifecycle {
     state: State,
@@ -209,56 +212,56 @@
     digest: CompactString,
     /// Seconds since the Unix epoch.
     created: u64,
-    born: Instant,
-    /// A write of ours may still take effect: its reply was lost.
+    claimed_at: Instant,
+    /// Whether a write of this request may still take effect, because its reply was lost.
     uncertain: bool,
     /// The row last written or read.
     row: Option<IntentRow>,
 }
 
 impl RequestLifecycle {
-    /// A request with a claim of its own, never used before. `born` must not be later than the
-    /// first step; `created` is the same time in seconds since the Unix epoch.
+    /// Creates a request with a claim that was never used before. `claimed_at` must not be later
+    /// than the first step; `created` is the same time in seconds since the Unix epoch.
     pub fn new(
         owner: Owner,
         digest: CompactString,
-        born: Instant,
+        claimed_at: Instant,
         created: u64,
     ) -> RequestLifecycle {
         let state = chart().initial();
-        RequestLifecycle { state, owner, digest, created, born, uncertain: false, row: None }
+        RequestLifecycle { state, owner, digest, created, claimed_at, uncertain: false, row: None }
     }
 
-    /// Where the request is.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The claim this request holds or tries to hold.
+    /// Returns the claim that this request holds or tries to acquire.
     pub fn owner(&self) -> Owner {
         self.owner
     }
 
-    /// The row last written or read.
+    /// Returns the row last written or read.
     pub fn row(&self) -> Option<&IntentRow> {
         self.row.as_ref()
     }
 
-    /// Takes one event. `shelf` is the one of this node's life.
-    pub fn step(&mut self, event: Event, shelf: &mut AbandonedClaims) -> Action {
-        let late = matches!(event, Event::Send(now) if now - self.born > SEND_WITHIN);
+    /// Handles one event. `abandoned` is shared by all requests of this process.
+    pub fn step(&mut self, event: Event, abandoned: &mut AbandonedClaims) -> Action {
+        let late = matches!(event, Event::Send(now) if now - self.claimed_at > SEND_WITHIN);
         if late && self.state == State::Owned {
             return Action::Expire;
         }
-        let label = self.label(&event, shelf);
+        let label = self.classify(&event, abandoned);
         let Some(state) = chart().next(self.state, label) else { return Action::Ignore };
         let before = std::mem::replace(&mut self.state, state);
         self.uncertain |= label == Label::Lost && before != State::Looking;
-        self.keep(event, shelf);
-        self.act(before, shelf)
+        self.update_row(event, abandoned);
+        self.action(before, abandoned)
     }
 
-    fn label(&self, event: &Event, shelf: &AbandonedClaims) -> Label {
+    fn classify(&self, event: &Event, abandoned: &AbandonedClaims) -> Label {
         match event {
             Event::Claim => Label::Claim,
             Event::Look => Label::Look,
@@ -268,22 +271,22 @@
             Event::Failed(Fault::Lost) => Label::Lost,
             Event::Row(None) if self.uncertain => Label::Absent,
             Event::Row(None) => Label::Vanished,
-            Event::Row(Some(found)) => self.read(&found.intent, shelf),
+            Event::Row(Some(row)) => self.classify_row(&row.intent, abandoned),
             Event::Send(_) => Label::Send,
-            Event::End(_, now) if *now - self.born > RECORD_WITHIN => Label::GiveUp,
+            Event::End(_, now) if *now - self.claimed_at > RECORD_WITHIN => Label::GiveUp,
             Event::End(..) => Label::End,
             Event::GiveUp => Label::GiveUp,
         }
     }
 
-    fn read(&self, intent: &Intent, shelf: &AbandonedClaims) -> Label {
+    fn classify_row(&self, intent: &Intent, abandoned: &AbandonedClaims) -> Label {
         if intent.digest != self.digest {
             return Label::Mismatch;
         }
         match &intent.outcome {
-            // The claim and not just the node's life must match. Two requests with one key can
-            // meet at a node; were the life enough, both would read the row as theirs and send.
-            None if intent.owner == self.owner || shelf.has(intent.owner) => Label::Mine,
+            // The whole claim must match, not only the node's incarnation. Otherwise two requests
+            // with the same key on one node would both consider the row theirs and send.
+            None if intent.owner == self.owner || abandoned.contains(intent.owner) => Label::Mine,
             None => Label::Taken,
             Some(Outcome::NotRun) if self.uncertain => Label::Absent,
             Some(Outcome::NotRun) => Label::Vacant,
@@ -291,13 +294,13 @@
         }
     }
 
-    /// Remembers what the event says of the row.
-    fn keep(&mut self, event: Event, shelf: &mut AbandonedClaims) {
+    /// Updates the row from the event, and takes over an abandoned claim if the row holds one.
+    fn update_row(&mut self, event: Event, abandoned: &mut AbandonedClaims) {
         match event {
             Event::Written(Written::Done(revision)) => {
                 self.row.iter_mut().for_each(|r| r.revision = revision);
             }
-            Event::Row(found) => self.row = found,
+            Event::Row(row) => self.row = row,
             Event::End(outcome, _) => {
                 self.row.iter_mut().for_each(|r| r.intent.outcome = Some(outcome.clone()));
             }
@@ -308,31 +311,32 @@
             && row.intent.owner != self.owner
         {
             self.owner = row.intent.owner;
-            self.born = shelf.take(self.owner).expect("only a shelved claim is taken over");
+            self.claimed_at =
+                abandoned.remove(self.owner).expect("only an abandoned claim is taken over");
         }
     }
 
-    fn act(&mut self, before: State, shelf: &mut AbandonedClaims) -> Action {
+    fn action(&mut self, before: State, abandoned: &mut AbandonedClaims) -> Action {
         match self.state {
             State::Idle => Action::Ignore,
             State::Claiming => self.write(0, 1),
             State::Taking => {
-                let found = self.row.as_ref().expect("only a row that was read is taken");
-                self.write(found.revision, found.intent.generation + 1)
+                let row = self.row.as_ref().expect("a taking request has read the row");
+                self.write(row.revision, row.intent.generation + 1)
             }
             State::Looking => Action::Read,
             State::Owned => Action::Permit,
             State::Sending => Action::Send,
             State::Recording => self.row.clone().map_or(Action::Ignore, Action::Write),
-            State::Settled if before == State::Looking => self.recorded(),
+            State::Settled if before == State::Looking => self.respond_with_outcome(),
             State::Settled | State::Unrecorded => Action::Finish,
             State::Busy => {
-                let row = self.row.as_ref().expect("a busy call has a row");
+                let row = self.row.as_ref().expect("a busy request has read the row");
                 Action::Respond(Verdict::Busy(row.intent.holder()))
             }
             State::Mismatched => Action::Respond(Verdict::Mismatch),
-            State::Refused => self.leave(Verdict::NotRun, shelf),
-            State::Abandoned => self.leave(Verdict::Unclear, shelf),
+            State::Refused => self.abandon(Verdict::NotRun, abandoned),
+            State::Abandoned => self.abandon(Verdict::Unclear, abandoned),
         }
     }
 
@@ -344,21 +348,22 @@
             created: self.created,
             outcome: None,
         };
-        let found = IntentRow { revision, intent };
-        self.row = Some(found.clone());
-        Action::Write(found)
+        let row = IntentRow { revision, intent };
+        self.row = Some(row.clone());
+        Action::Write(row)
     }
 
-    fn recorded(&self) -> Action {
+    fn respond_with_outcome(&self) -> Action {
         let outcome = self.row.as_ref().and_then(|r| r.intent.outcome.clone());
         Action::Respond(Verdict::Outcome(outcome.expect("a settled row has an outcome")))
     }
 
-    /// Ends without sending. A write whose reply was lost may still take effect; its claim goes to
-    /// the shelf, or the row would answer "unknown" for as long as it lives though nothing ran.
-    fn leave(&self, verdict: Verdict, shelf: &mut AbandonedClaims) -> Action {
+    /// Ends without sending. If the reply to a write was lost, the row may still appear. The claim
+    /// is then retained for a later request to take over; otherwise the row would stay without an
+    /// outcome until it is deleted, although nothing ran.
+    fn abandon(&self, verdict: Verdict, abandoned: &mut AbandonedClaims) -> Action {
         if self.uncertain {
-            shelf.put(self.owner, self.born);
+            abandoned.insert(self.owner, self.claimed_at);
         }
         Action::Respond(verdict)
     }
--- a/crates/decide/tests/chart.rs
+++ b/crates/decide/tests/chart.rs
@@ -52,13 +52,13 @@
 #[test]
 fn refuses_a_trap() {
     let chart = parse("", &[["red", "next", "green"]]);
-    assert_eq!(chart.unwrap_err(), ChartError::Trap("Green".into()));
+    assert_eq!(chart.unwrap_err(), ChartError::DeadEnd("Green".into()));
 }
 
 #[test]
 fn refuses_a_way_out_of_the_end() {
     let chart = parse(r#""off""#, &[["red", "end", "off"], ["off", "next", "red"]]);
-    assert_eq!(chart.unwrap_err(), ChartError::Leaky("Off".into()));
+    assert_eq!(chart.unwrap_err(), ChartError::FinalWithExit("Off".into()));
 }
 
 #[test]
