--- a/crates/decide/src/mover.rs
+++ b/crates/decide/src/mover.rs
@@ -1,21 +1,22 @@
-//! Version moves: an entry's requests go over to a new version by a deadline, or are taken back.
+//! Version moves: an entry's traffic is shifted to a new version by a deadline, or rolled back.
 //!
-//! One [`Mover`] at each node, without clock, socket or randomness of its own. Raising the share needs
-//! the entry's lease and a commit of the table; lowering needs neither. See `docs/design/moves.md`.
+//! Each node has one [`Mover`], which has no clock, socket or source of randomness of its own. Raising
+//! the share requires the entry's lease and a commit to the table; lowering it requires neither. See
+//! `docs/design/moves.md`.
 
-mod ask;
-mod asked;
 pub mod evidence;
 pub mod lease;
-pub mod update;
 pub mod next;
+mod pending;
 pub mod record;
 pub mod schedule;
 pub mod split;
 pub mod standing;
 mod status;
+mod sync;
 mod track;
 mod units;
+pub mod update;
 pub mod verdict;
 
 pub use {
@@ -37,16 +38,16 @@
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{collections::BTreeMap, time::Duration},
     tokio::time::Instant,
-    track::{Track, Wanted},
+    track::{PendingStart, Track},
 };
 
 /// A result whose error is a [`MoveError`].
 pub type Result<T> = std::result::Result<T, MoveError>;
 
-/// Longest wait for the table before a start is answered with [`MoveError::Table`].
-const START_WAIT: Duration = Duration::from_secs(20);
+/// Time without a response from the table after which a start fails with [`MoveError::Table`].
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What an operator asks for.
+/// An operator's request to start a move.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
     /// Catalogue entry.
@@ -55,109 +56,118 @@
     pub to: CompactString,
     /// Deadline.
     pub by: Millis,
-    /// What counts.
+    /// Priorities.
     pub weights: Weights,
-    /// Whether to go on although the time is too short for the evidence.
+    /// Whether to start although the time is too short for sufficient evidence.
     pub force: bool,
 }
 
-/// Why an operator's request is rejected.
+/// Error of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum MoveError {
-    /// Not an entry of the catalogue in force.
-    #[error("no entry {0}")]
+    /// Not an entry of the current catalogue.
+    #[error("the catalogue has no entry {0}")]
     NoEntry(CompactString),
-    /// The rows weren't read yet, or the table doesn't answer. A start may still take effect.
-    #[error("the table doesn't answer")]
+    /// The rows have not been read yet, or the table doesn't respond. A start may still take effect.
+    #[error("the table does not respond")]
     Table,
-    /// The entry has that version already.
-    #[error("the entry has version {0} already")]
+    /// The entry already has the requested version.
+    #[error("the entry already has version {0}")]
     Same(CompactString),
-    /// Another move of the entry is under way, perhaps of another operator at the same moment.
-    #[error("another move of the entry is under way")]
+    /// Another move of the entry is in progress, possibly one that was started concurrently.
+    #[error("another move of the entry is in progress")]
     Other(MoveId),
-    /// No move to be undone: none is there, or the last one is over.
-    #[error("no move is under way")]
+    /// The entry has no move in progress that could be undone.
+    #[error("the entry has no move in progress")]
     Over,
     /// The deadline is too close.
     #[error(transparent)]
     Late(#[from] DeadlineTooClose),
 }
 
-/// Something to be done for a move.
+/// A side effect to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Read rows; answer with [`Mover::rows`].
+    /// Read rows; the response is passed to [`Mover::rows`].
     Read {
-        /// Number of the question.
+        /// Request number.
         number: u64,
-        /// Rows wanted.
+        /// Request.
         read: Read,
     },
-    /// Write rows; answer with [`Mover::committed`].
+    /// Write rows; the response is passed to [`Mover::committed`].
     Commit {
-        /// Number of the question.
+        /// Request number.
         number: u64,
-        /// Writes wanted.
+        /// Request.
         commit: Commit,
     },
-    /// Send to all peers at once; lost ones are made up for by the next.
+    /// Send to all peers, without retries; the next message replaces a lost one.
     Broadcast(MoveUpdate),
-    /// Change the catalogue's version of the entry; repeated until [`Mover::set_version`] shows it.
+    /// Change the entry's version in the catalogue; repeated until [`Mover::set_version`] reports it.
     Adopt {
         /// Catalogue entry.
         entry: CompactString,
-        /// Version to be named.
+        /// New version.
         version: CompactString,
     },
-    /// Answer to the operator who asked for this move's start.
+    /// Result of a start, for the operator who requested it.
     Started {
         /// The move.
         id: MoveId,
-        /// What came of it.
+        /// Result.
         result: Result<()>,
     },
 }
 
-/// What a track needs to ask the table.
+/// State shared by the tracks of all entries.
 #[derive(Clone, Debug)]
-struct Table {
+struct Context {
     me: Incarnation,
     rng: SmallRng,
-    number: u64,
-    zero: (Instant, Millis),
+    /// Number of the last request to the table.
+    last_number: u64,
+    /// Wall-clock time at an instant.
+    clock_base: (Instant, Millis),
 }
 
-impl Table {
-    fn number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+impl Context {
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    fn wall(&self, now: Instant) -> Millis {
-        let (at, wall) = self.zero;
+    fn wall_at(&self, now: Instant) -> Millis {
+        let (at, wall) = self.clock_base;
         wall + (now - at).as_millis() as Millis
     }
 }
 
-/// All version moves, as one node sees them.
+/// State of all version moves at one node.
 #[derive(Clone, Debug)]
 pub struct Mover {
-    table: Table,
+    context: Context,
     peers: Vec<Incarnation>,
+    /// By entry.
     tracks: BTreeMap<CompactString, Track>,
+    /// Entries and timeouts of the starts that were not answered yet.
     starts: BTreeMap<MoveId, (CompactString, Instant)>,
     adopt_at: Option<Instant>,
 }
 
 impl Mover {
-    /// A mover that knows nothing yet. `wall` is the wall-clock time at `now`. Equal seeds decide
-    /// equally.
+    /// Creates a mover without entries. `wall` is the wall-clock time at `now`. Decisions are
+    /// deterministic for a given seed.
     pub fn new(me: Incarnation, seed: u64, now: Instant, wall: Millis) -> Mover {
-        let table = Table { me, rng: SmallRng::seed_from_u64(seed), number: 0, zero: (now, wall) };
+        let context = Context {
+            me,
+            rng: SmallRng::seed_from_u64(seed),
+            last_number: 0,
+            clock_base: (now, wall),
+        };
         Mover {
-            table,
+            context,
             peers: Vec::new(),
             tracks: BTreeMap::new(),
             starts: BTreeMap::new(),
@@ -165,88 +175,89 @@
         }
     }
 
-    /// The other nodes, as the instance list has them.
+    /// Sets the other nodes.
     pub fn set_peers(&mut self, peers: &[Incarnation]) {
-        self.peers = peers.iter().copied().filter(|p| *p != self.table.me).collect();
-        self.tracks.values_mut().for_each(|t| t.fresh.set_peers(&self.peers));
+        self.peers = peers.iter().copied().filter(|p| *p != self.context.me).collect();
+        self.tracks.values_mut().for_each(|t| t.freshness.set_peers(&self.peers));
     }
 
-    /// The catalogue in force has this entry at this version.
+    /// Sets an entry's version in the current catalogue.
     pub fn set_version(&mut self, now: Instant, entry: &str, version: &str) {
         let new = || Track::new(now, entry.into(), &self.peers);
         self.tracks.entry(entry.into()).or_insert_with(new).version = version.into();
     }
 
-    /// Live runners of an entry at the old and the new version of its move.
+    /// Sets the numbers of live runners of an entry at the old and the new version of its move.
     pub fn set_runner_counts(&mut self, entry: &str, old: u32, new: u32) {
         if let Some(track) = self.tracks.get_mut(entry) {
-            track.fleet = Some([old, new]);
+            track.runner_counts = Some([old, new]);
         }
     }
 
-    /// A request ended.
+    /// Records a request that ended.
     pub fn observe(&mut self, now: Instant, entry: &str, sample: &Sample<'_>) {
         if let Some(track) = self.tracks.get_mut(entry) {
             track.observe(now, sample);
         }
     }
 
-    /// A peer's message came.
-    pub fn receive(&mut self, now: Instant, news: &MoveUpdate) {
-        if let Some(track) = self.tracks.get_mut(&news.entry) {
-            track.hear(now, self.table.me, news);
+    /// Handles a peer's message.
+    pub fn receive(&mut self, now: Instant, update: &MoveUpdate) {
+        if let Some(track) = self.tracks.get_mut(&update.entry) {
+            track.receive(now, self.context.me, update);
         }
     }
 
-    /// Rows that were asked for; `None` when no answer came.
+    /// Handles the response to [`Output::Read`]; `rows` is `None` if there was none.
     pub fn rows(&mut self, now: Instant, number: u64, rows: Option<&Rows>) {
-        let wall = self.table.wall(now);
+        let wall = self.context.wall_at(now);
         for track in self.tracks.values_mut() {
             match rows {
-                rows if track.awaits(number) => track.rows(now, wall, rows),
-                Some(rows) => track.late_rows(now, wall, rows),
+                rows if track.awaits(number) => track.handle_rows(now, wall, rows),
+                Some(rows) => track.handle_late_rows(now, wall, rows),
                 None => {}
             }
         }
     }
 
-    /// What came of a commit; `None` when no answer came.
-    pub fn committed(&mut self, now: Instant, number: u64, answer: Option<&Committed>) {
-        let wall = self.table.wall(now);
+    /// Handles the response to [`Output::Commit`]; `response` is `None` if there was none.
+    pub fn committed(&mut self, now: Instant, number: u64, response: Option<&Committed>) {
+        let wall = self.context.wall_at(now);
         if let Some(track) = self.tracks.values_mut().find(|t| t.awaits(number)) {
-            track.committed(now, wall, answer);
+            track.handle_committed(now, wall, response);
         }
     }
 
-    /// How the entry's requests are split at present; `None` when the catalogue's version gets all.
+    /// Returns the entry's current traffic split; `None` if the catalogue's version receives every
+    /// request.
     pub fn split(&self, now: Instant, entry: &str) -> Option<Split> {
         self.tracks.get(entry)?.split(now)
     }
 
-    /// The fencing number for orders to the entry's runners, if this node may give any. To be asked
-    /// right before each order is sent: some runners don't check the number themselves.
+    /// Returns the fencing number for orders to the entry's runners, if this node may send any. Must
+    /// be called right before each order, because some runners don't check the number.
     pub fn fence(&self, now: Instant, entry: &str) -> Option<u64> {
-        self.tracks.get(entry)?.lease.held(now, self.table.me)
+        self.tracks.get(entry)?.lease.fence(now, self.context.me)
     }
 
-    /// Whether the old version's runners must be kept.
+    /// Returns whether the old version's runners must be kept.
     pub fn keeps_old(&self, entry: &str) -> bool {
         self.tracks.get(entry).is_some_and(|t| t.active().is_some())
     }
 
-    /// Plans a move and sets out to write it. The answer comes as [`Output::Started`].
+    /// Plans a move and schedules its write. The result is reported as [`Output::Started`].
     pub fn start(&mut self, now: Instant, start: &Start) -> Result<MoveId> {
-        let wall = self.table.wall(now);
+        let wall = self.context.wall_at(now);
         let nodes = self.peers.len() as f64 + 1.0;
         let Some(track) = self.tracks.get_mut(&start.entry) else {
             return Err(MoveError::NoEntry(start.entry.clone()));
         };
         let revision = track.revision.ok_or(MoveError::Table)?;
-        let wanted = track.wanted.as_ref().map(|w| &w.row);
+        let pending = track.pending_start.as_ref().map(|s| &s.row);
         // The stored row takes precedence: a new row would overwrite a local verdict before it is
         // stored.
         let known = track.row.as_ref().filter(|r| !r.standing.is_final());
-        if let Some(row) = known.or(wanted) {
+        if let Some(row) = known.or(pending) {
             return Err(MoveError::Other(row.moved.id));
         }
         if track.version == start.to {
@@ -254,7 +265,7 @@
         }
         let time = Duration::from_millis(start.by.saturating_sub(wall));
         let steps = schedule::plan(time, track.rate(now) * nodes, &start.weights, start.force)?;
-        let id = MoveId(self.table.rng.random());
+        let id = MoveId(self.context.rng.random());
         let moved = Move {
             id,
             entry: start.entry.clone(),
@@ -268,14 +279,14 @@
         };
         let standing = Standing::Moving(0);
         let row = MoveRow { moved, standing, since: wall, commit: 0 };
-        track.wanted = Some(Wanted { row, revision });
-        self.starts.insert(id, (start.entry.clone(), now + START_WAIT));
+        track.pending_start = Some(PendingStart { row, revision });
+        self.starts.insert(id, (start.entry.clone(), now + START_TIMEOUT));
         Ok(id)
     }
 
     /// Rolls the entry's move back: immediately on this node, within seconds everywhere.
     pub fn undo(&mut self, now: Instant, entry: &str) -> Result<MoveId> {
-        let me = self.table.me;
+        let me = self.context.me;
         let track = self.tracks.get_mut(entry).ok_or_else(|| MoveError::NoEntry(entry.into()))?;
         let id = track.active().ok_or(MoveError::Over)?.moved.id;
         let route = CompactString::default();
@@ -283,22 +294,22 @@
         Ok(id)
     }
 
-    /// Time has passed: appends what is to be done. To be called every 50 ms or so.
+    /// Performs due work and appends the side effects to `out`. Must be called about every 50 ms.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<Output>) {
         self.answer_starts(now, out);
         for track in self.tracks.values_mut() {
-            track.tick(now, &mut self.table, out);
+            track.tick(now, &mut self.context, out);
         }
         if self.adopt_at.is_none_or(|at| now >= at) {
             self.adopt_at = Some(now + Duration::from_secs(1));
-            let me = self.table.me;
+            let me = self.context.me;
             out.extend(self.tracks.values().filter_map(|t| t.adoption(now, me)));
         }
     }
 
-    /// How the entry's latest move stands.
+    /// Returns the status of the entry's latest move.
     pub fn status(&self, now: Instant, entry: &str) -> Option<Status> {
-        status::status(self.tracks.get(entry)?, now, self.table.wall(now), self.table.me)
+        status::status(self.tracks.get(entry)?, now, self.context.wall_at(now), self.context.me)
     }
 
     fn answer_starts(&mut self, now: Instant, out: &mut Vec<Output>) {
@@ -310,7 +321,7 @@
                 None => Err(MoveError::Table),
                 Some(result) => result,
             };
-            track.wanted = None;
+            track.pending_start = None;
             out.push(Output::Started { id: *id, result });
             false
         });
--- a/crates/decide/src/mover/evidence.rs
+++ b/crates/decide/src/mover/evidence.rs
@@ -1,11 +1,12 @@
-//! What requests show about two versions, in counters that nodes exchange.
+//! Evidence on the quality of two versions, in counters that nodes exchange.
 //!
-//! A request is given to the new version at random with a known probability, its share. If the
-//! versions are alike, then of the *bad events* (a failure, a late first token, a slow pace) the new
-//! version's part is that share too, whatever the load, the hour or the callers do to both at that
-//! moment. So each bad event multiplies a likelihood ratio: for the claim that bad events are `r`
-//! times as frequent on the new version, against their being at most [`TOLERANCE`] times as frequent.
-//! The logarithms add up over requests and nodes, so a node tells one running sum a claim.
+//! A request is assigned to the new version at random with a known probability, the share. If both
+//! versions are equally good, the new version's fraction of the *bad events* (a failure, a late first
+//! token, a low token rate) equals the share, regardless of load, time of day or callers, which
+//! affect both versions alike. Each bad event therefore multiplies a likelihood ratio: of the
+//! hypothesis that bad events are `r` times as frequent on the new version, to the hypothesis that
+//! they are at most [`TOLERANCE`] times as frequent. The logarithms are summed over requests and nodes, so a
+//! node sends one running sum per hypothesis.
 
 use {
     super::split::Choice,
@@ -15,45 +16,46 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Claims that are tested together: bad events so many times as frequent on the new version.
+/// Tested hypotheses: how many times as frequent bad events are on the new version.
 pub const RATIOS: [f64; 4] = [4.0, 12.0, 40.0, 150.0];
-/// How many times as frequent bad events may be before a version counts as worse.
+/// How many times as frequent bad events may be on the new version before it counts as worse.
 pub const TOLERANCE: f64 = 1.5;
 /// Maximum distinct routes; further ones are counted as [`OTHER`].
-pub const ROUTES: usize = 8;
-/// Name of the routes past [`ROUTES`].
+pub const MAX_ROUTES: usize = 8;
+/// Combined route for those beyond [`MAX_ROUTES`].
 pub const OTHER: &str = "other";
 /// Kinds of bad event.
 pub const METRICS: usize = 3;
-/// Most node lives whose counters are kept for one move; later ones are not counted.
-pub const NODES: usize = 64;
+/// Maximum number of node incarnations whose counters are kept for one move; further ones are
+/// ignored.
+pub const MAX_NODES: usize = 64;
 
-/// Latencies needed, at all nodes, before there is a bound.
-const ENOUGH: f64 = 12.0;
-/// Latencies that are remembered at most: beyond, older ones count half.
-const REMEMBERED: f64 = 256.0;
-/// A latency is bad this many standard deviations, of its logarithm, above the old version's mean.
+/// Minimum number of latencies, over all nodes, for a bound on good latencies.
+const MIN_LATENCIES: f64 = 12.0;
+/// Number of latencies at which the weight of the earlier ones is halved.
+const MAX_LATENCIES: f64 = 256.0;
+/// Standard deviations of a latency's logarithm above the old version's mean at which it is bad.
 const DEVIATIONS: f64 = 2.0;
-/// And by this factor more, for caches that are still cold on new runners.
+/// Additional factor on that bound, for cold caches on new runners.
 const SLACK: f64 = 1.25;
 
-/// One request that ended, on its first attempt. Later attempts are pinned to a version, so their
-/// version wasn't chosen at random and they say nothing fair.
+/// A request that ended on its first attempt. Later attempts are not sampled: they are pinned to a
+/// version, so their version wasn't chosen at random.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample<'a> {
-    /// How it was given to its version.
+    /// Assignment to its version.
     pub choice: Choice,
-    /// Class and size of prompt, or path: what may fail alone.
+    /// Class and prompt size, or path: the categories that may fail independently.
     pub route: &'a str,
-    /// Whether it ended well. A caller that leaves is no failure, and no sample.
+    /// Whether it succeeded. Requests cancelled by the caller are not sampled.
     pub ok: bool,
-    /// Time to the first token or the answer's head.
+    /// Time to the first token or the response head.
     pub first: Option<Duration>,
     /// Mean time between tokens.
     pub pace: Option<Duration>,
-    /// Any number that tells runners apart.
+    /// Number that identifies the runner.
     pub runner: u64,
-    /// Any number that tells accounts apart.
+    /// Number that identifies the account.
     pub account: u64,
 }
 
@@ -65,14 +67,14 @@
     pub old: u32,
     /// Bad events of the new version.
     pub new: u32,
-    /// Runners of the new version that had one, a bit for each value of their number modulo 64.
+    /// Runners of the new version with bad events, as a bit set of their numbers modulo 64.
     pub runners: u64,
-    /// Logarithm of the likelihood ratio for each of [`RATIOS`].
+    /// Logarithm of the likelihood ratio for each hypothesis in [`RATIOS`].
     pub logs: [f64; RATIOS.len()],
 }
 
 impl Tally {
-    fn count(&mut self, sample: &Sample<'_>) {
+    fn record(&mut self, sample: &Sample<'_>) {
         let share = sample.choice.share.fraction();
         if share <= 0.0 || share >= 1.0 {
             return;
@@ -101,20 +103,23 @@
     }
 }
 
-/// What is usual for the old version: moments of the logarithm of a latency in seconds.
+/// Statistics of the old version's latencies: moments of the logarithm of the seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Usual {
+pub struct LatencyStats {
     count: f64,
     sum: f64,
     squares: f64,
 }
 
-impl Usual {
-    fn push(&mut self, latency: Duration) {
-        if self.count >= REMEMBERED {
-            *self =
-                Usual { count: self.count / 2.0, sum: self.sum / 2.0, squares: self.squares / 2.0 };
+impl LatencyStats {
+    fn record(&mut self, latency: Duration) {
+        if self.count >= MAX_LATENCIES {
+            *self = LatencyStats {
+                count: self.count / 2.0,
+                sum: self.sum / 2.0,
+                squares: self.squares / 2.0,
+            };
         }
         let log = latency.as_secs_f64().max(1e-6).ln();
         self.count += 1.0;
@@ -122,19 +127,19 @@
         self.squares += log * log;
     }
 
-    fn add(&mut self, other: &Usual) {
+    fn add(&mut self, other: &LatencyStats) {
         self.count += other.count;
         self.sum += other.sum;
         self.squares += other.squares;
     }
 
-    /// Whether `latency` is worse than what was usual. The bound comes from earlier requests only, so
-    /// it is fair to a request of either version.
-    fn is_exceeded(&self, latency: Duration) -> bool {
+    /// Returns whether `latency` is significantly above the old version's. The bound depends on
+    /// earlier requests only, so it is unbiased for a request of either version.
+    fn is_exceeded_by(&self, latency: Duration) -> bool {
         let mean = self.sum / self.count;
         let deviation = (self.squares / self.count - mean * mean).max(0.0).sqrt();
         let bound = (mean + DEVIATIONS * deviation).exp() * SLACK;
-        self.count >= ENOUGH && latency.as_secs_f64() > bound
+        self.count >= MIN_LATENCIES && latency.as_secs_f64() > bound
     }
 }
 
@@ -142,18 +147,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Counts {
-    /// Requests that the old version ended.
+    /// Requests that ended on the old version.
     pub old: u32,
-    /// Requests that the new version ended.
+    /// Requests that ended on the new version.
     pub new: u32,
-    /// Runners of the new version seen, as in [`Tally::runners`].
+    /// Runners of the new version, as a bit set like [`Tally::runners`].
     pub runners: u64,
-    /// Accounts that the new version served, as in [`Tally::runners`].
+    /// Accounts served by the new version, as a bit set like [`Tally::runners`].
     pub accounts: u64,
-    /// Failures, late first tokens, slow paces.
+    /// Failures, late first tokens and low token rates.
     pub bad: [Tally; METRICS],
-    /// The old version's times to the first token, and paces.
-    pub usual: [Usual; 2],
+    /// The old version's times to the first token, and times between tokens.
+    pub usual: [LatencyStats; 2],
 }
 
 impl Counts {
@@ -168,42 +173,45 @@
     }
 }
 
-/// One node's counters for one move. Of two from one node, the one with the higher number holds.
+/// One node's counters for one move. Of two from the same node, the one with the higher sequence
+/// number is valid.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Evidence {
-    /// Grows with each change.
+    /// Sequence number; increases with each change.
     pub sequence: u64,
     /// By route.
     pub routes: BTreeMap<CompactString, Counts>,
 }
 
 impl Evidence {
-    fn is_bounded(&self) -> bool {
+    /// Returns whether the counters of a peer are within their limits.
+    fn is_valid(&self) -> bool {
         let finite = |t: &Tally| t.logs.iter().all(|l| l.is_finite());
-        self.routes.len() <= ROUTES + 1 && self.routes.values().all(|c| c.bad.iter().all(finite))
+        self.routes.len() <= MAX_ROUTES + 1
+            && self.routes.values().all(|c| c.bad.iter().all(finite))
     }
 }
 
-/// Turns this node's samples into its counters.
+/// Aggregates this node's samples.
 #[derive(Clone, Debug, Default)]
 pub struct Collector {
     evidence: Evidence,
 }
 
 impl Collector {
-    /// Takes one request that ended. `pooled` is what all nodes know so far: a thin route has too
-    /// few requests at one node to tell what is usual.
+    /// Records a request that ended. `pooled` is the evidence of all nodes, because a route with
+    /// little traffic has too few latencies on one node.
     pub fn observe(&mut self, sample: &Sample<'_>, pooled: &BTreeMap<CompactString, Counts>) {
         let routes = &mut self.evidence.routes;
-        let known = routes.contains_key(sample.route) || routes.len() < ROUTES;
-        let route = CompactString::from(if known { sample.route } else { OTHER });
+        let is_separate = routes.contains_key(sample.route) || routes.len() < MAX_ROUTES;
+        let route = CompactString::from(if is_separate { sample.route } else { OTHER });
         let usual = pooled.get(&route).map(|c| c.usual);
         let counts = routes.entry(route).or_default();
         let latencies = [sample.first, sample.pace];
         let slow: [bool; 2] = std::array::from_fn(|i| {
             let usual = usual.as_ref().map(|u| &u[i]);
-            latencies[i].is_some_and(|l| usual.is_some_and(|u| u.is_exceeded(l)))
+            latencies[i].is_some_and(|l| usual.is_some_and(|u| u.is_exceeded_by(l)))
         });
         if sample.choice.new {
             counts.new += 1;
@@ -212,22 +220,22 @@
         } else {
             counts.old += 1;
             let pairs = counts.usual.iter_mut().zip(latencies);
-            pairs.for_each(|(usual, latency)| latency.into_iter().for_each(|l| usual.push(l)));
+            pairs.for_each(|(usual, latency)| latency.into_iter().for_each(|l| usual.record(l)));
         }
         let bad = [!sample.ok, slow[0], slow[1]];
         let tallies = counts.bad.iter_mut().zip(bad).filter(|(_, bad)| *bad);
-        tallies.for_each(|(tally, _)| tally.count(sample));
+        tallies.for_each(|(tally, _)| tally.record(sample));
         self.evidence.sequence += 1;
     }
 
-    /// Forgets the counters, for a new move; keeps what is usual for the version that stays.
-    pub fn renew(&mut self) {
+    /// Resets the counters for a new move; keeps the latency statistics.
+    pub fn reset(&mut self) {
         for counts in self.evidence.routes.values_mut() {
             *counts = Counts { usual: counts.usual, ..Counts::default() };
         }
     }
 
-    /// The counters so far.
+    /// Returns the counters.
     pub fn evidence(&self) -> &Evidence {
         &self.evidence
     }
@@ -241,11 +249,11 @@
 }
 
 impl PooledEvidence {
-    /// Takes a node's counters unless newer ones of that node are known. Repeated and reordered
-    /// messages change nothing.
+    /// Merges a node's counters unless newer ones of that node are known. Idempotent and independent
+    /// of the order of messages.
     pub fn merge(&mut self, node: Incarnation, evidence: &Evidence) {
-        let room = self.nodes.len() < NODES || self.nodes.contains_key(&node);
-        if !room || !evidence.is_bounded() {
+        let has_room = self.nodes.len() < MAX_NODES || self.nodes.contains_key(&node);
+        if !has_room || !evidence.is_valid() {
             return;
         }
         let known = self.nodes.entry(node).or_default();
@@ -255,12 +263,12 @@
         }
     }
 
-    /// The sum over nodes by route, if it changed since the last call.
+    /// Returns the sum over nodes by route, if it changed since the last call.
     pub fn take_changed(&mut self) -> Option<BTreeMap<CompactString, Counts>> {
         std::mem::take(&mut self.changed).then(|| self.routes())
     }
 
-    /// The sum over nodes, by route.
+    /// Returns the sum over nodes by route.
     pub fn routes(&self) -> BTreeMap<CompactString, Counts> {
         let mut sum: BTreeMap<CompactString, Counts> = BTreeMap::new();
         for (route, counts) in self.nodes.values().flat_map(|e| &e.routes) {
--- a/crates/decide/src/mover/record.rs
+++ b/crates/decide/src/mover/record.rs
@@ -1,4 +1,4 @@
-//! What a move is, and the row that keeps it in the platform's table.
+//! Definition of a move, and its row in the platform's table.
 
 use {
     super::{
@@ -13,103 +13,105 @@
 /// A result whose error is a [`RowError`].
 pub type Result<T> = std::result::Result<T, RowError>;
 
-/// Most bytes of a row that is looked at.
-pub const ROW_BYTES: usize = 8_192;
-/// Most steps of a move.
-pub const STEPS: usize = 16;
+/// Maximum length of a row that is parsed, in bytes.
+pub const MAX_ROW_BYTES: usize = 8_192;
+/// Maximum number of steps of a move.
+pub const MAX_STEPS: usize = 16;
 
-/// Names one move for ever; random, so that a second move of an entry is never taken for the first.
+/// Identifier of a move. Random, so that a later move of an entry is never mistaken for an earlier
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Deserialize, Serialize)]
 pub struct MoveId(pub u64);
 
-/// A move as its operator asked for it and as it was planned at its start.
+/// A move as requested by its operator and planned at its start.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Move {
-    /// Its name.
+    /// Identifier.
     pub id: MoveId,
     /// Catalogue entry.
     pub entry: CompactString,
-    /// Version that has the traffic.
+    /// Old version.
     pub from: CompactString,
-    /// Version that is to have it.
+    /// New version.
     pub to: CompactString,
-    /// When it was asked for.
+    /// Wall-clock time of the operator's request.
     pub started: Millis,
-    /// Deadline: settled by then, or else taken back.
+    /// Deadline; a move that has not settled by then is rolled back.
     pub by: Millis,
-    /// Whether the operator wants it although the time is too short for the evidence.
+    /// Whether to start although the time is too short for sufficient evidence.
     pub force: bool,
-    /// What the operator cares for.
+    /// The operator's priorities.
     pub weights: Weights,
-    /// Planned steps; shares grow.
+    /// Planned steps, with non-decreasing shares.
     pub steps: Vec<Step>,
 }
 
-/// A move and how far it has come: the value of the row [`move_key`].
+/// A move and its progress: the value of the row [`move_key`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct MoveRow {
     /// The move.
     pub moved: Move,
-    /// How far it has come.
+    /// Progress.
     pub standing: Standing,
-    /// When it came there.
+    /// Wall-clock time of the last change of `standing`.
     pub since: Millis,
-    /// Random for each write, so that a writer whose answer was lost finds out if the row is its own.
+    /// Random number that identifies the write, so that a writer whose response was lost can
+    /// recognize its own row.
     pub commit: u64,
 }
 
-/// Why a row can't be used.
+/// An invalid row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum RowError {
-    /// Longer than [`ROW_BYTES`].
-    #[error("row of {0} bytes")]
+    /// Longer than [`MAX_ROW_BYTES`].
+    #[error("row of a version move has {0} bytes; the maximum is {MAX_ROW_BYTES}")]
     Long(usize),
     /// Not the JSON of a row.
-    #[error("row: {0}")]
+    #[error("malformed row of a version move: {0}")]
     Syntax(String),
-    /// Steps that are none, too many or shrink, or a step beyond them.
-    #[error("row with impossible steps")]
+    /// No steps, too many steps, decreasing or excessive shares, or a current step out of range.
+    #[error("row of a version move has invalid steps")]
     Steps,
 }
 
 impl MoveRow {
-    /// Reads and checks a row's value.
+    /// Parses and validates a row's value.
     pub fn parse(text: &str) -> Result<MoveRow> {
-        if text.len() > ROW_BYTES {
+        if text.len() > MAX_ROW_BYTES {
             return Err(RowError::Long(text.len()));
         }
         let row: MoveRow =
             serde_json::from_str(text).map_err(|e| RowError::Syntax(e.to_string()))?;
         let steps = &row.moved.steps;
-        let sound = (1..=STEPS).contains(&steps.len())
+        let is_valid = (1..=MAX_STEPS).contains(&steps.len())
             && steps.is_sorted_by_key(|s| s.share)
             && steps.iter().all(|s| s.share <= Share::ALL);
-        let inside = match row.standing {
+        let is_in_range = match row.standing {
             Standing::Moving(step) => usize::from(step) < steps.len(),
             _ => true,
         };
-        if sound && inside { Ok(row) } else { Err(RowError::Steps) }
+        if is_valid && is_in_range { Ok(row) } else { Err(RowError::Steps) }
     }
 
-    /// The row's value.
+    /// Serializes the row's value.
     pub fn text(&self) -> String {
-        serde_json::to_string(self).expect("a row has no map with odd keys")
+        serde_json::to_string(self).expect("all keys are strings")
     }
 
-    /// The share that the row allows the new version.
+    /// Returns the new version's share according to the row.
     pub fn share(&self) -> Share {
         self.moved.share(&self.standing)
     }
 }
 
 impl Move {
-    /// The share that the new version gets at `standing`.
+    /// Returns the new version's share at `standing`.
     pub fn share(&self, standing: &Standing) -> Share {
         match standing {
             Standing::Moving(step) => self.steps[usize::from(*step)].share,
@@ -119,12 +121,12 @@
     }
 }
 
-/// Key of the row of an entry's latest move.
+/// Returns the key of the row of an entry's latest move.
 pub fn move_key(entry: &str) -> CompactString {
     format_compact!("move/{entry}")
 }
 
-/// Key of the row of an entry's lease.
+/// Returns the key of the row of an entry's lease.
 pub fn lease_key(entry: &str) -> CompactString {
     format_compact!("lease/{entry}")
 }
--- a/crates/decide/src/mover/split.rs
+++ b/crates/decide/src/mover/split.rs
@@ -1,4 +1,4 @@
-//! The request path's view of a move: small, copied out, and good for a short time only.
+//! The request path's view of a move: a small copy that expires soon.
 
 use {
     super::{record::MoveId, units::Share},
@@ -6,7 +6,7 @@
     tokio::time::Instant,
 };
 
-/// How requests of an entry are split between two versions.
+/// Traffic split of an entry between two versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split {
     /// The move.
@@ -23,32 +23,32 @@
     pub until: Option<Instant>,
 }
 
-/// How a request was given to a version. Kept with the request until it ends.
+/// Assignment of a request to a version, stored with the request until it ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Choice {
-    /// The move under way; `None` when there was none.
+    /// The move in progress; `None` if there was none.
     pub id: Option<MoveId>,
-    /// Whether the new version got it.
+    /// Whether the request was assigned to the new version.
     pub new: bool,
-    /// The new version's share at that moment.
+    /// The new version's share at the time of the assignment.
     pub share: Share,
 }
 
 impl Split {
-    /// The share at `now`.
+    /// Returns the share at `now`.
     pub fn share(&self, now: Instant) -> Share {
-        let holds = self.until.is_none_or(|until| now < until);
-        if holds { self.share } else { Share::NONE }
+        let is_valid = self.until.is_none_or(|until| now < until);
+        if is_valid { self.share } else { Share::NONE }
     }
 
-    /// Gives a request to a version. `hash` is evenly spread and the same for a request's repeats.
-    /// Not for attempts after the first: those stay with their version.
+    /// Assigns a request to a version. `hash` is uniformly distributed and the same for repeats of a
+    /// request. Only for a request's first attempt; later attempts stay with its version.
     pub fn choose(&self, now: Instant, hash: u64) -> Choice {
         let share = self.share(now);
         Choice { id: Some(self.id), new: share.holds(hash), share }
     }
 
-    /// The version of a choice.
+    /// Returns the version of a choice.
     pub fn version(&self, choice: Choice) -> &CompactString {
         if choice.new { &self.to } else { &self.from }
     }
--- a/crates/decide/src/mover/standing.rs
+++ b/crates/decide/src/mover/standing.rs
@@ -1,4 +1,4 @@
-//! How far a move has come, as a lattice and as the chart `charts/move.json`.
+//! Progress of a move, as a join-semilattice and as the state chart `charts/move.json`.
 
 use {
     crate::{chart::Chart, id::Incarnation},
@@ -8,93 +8,93 @@
 };
 
 static CHART: LazyLock<Chart<Phase, Signal>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../../../../charts/move.json")).expect("checked by a test")
+    Chart::parse(include_str!("../../../../charts/move.json")).expect("charts/move.json is valid")
 });
 
-/// Where a move is in its life; see `charts/move.json`.
+/// State of a move in `charts/move.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Phase {
     /// The share grows step by step.
     Moving,
-    /// The new version has every request; the catalogue still names the old one.
+    /// The new version receives every request; the catalogue still names the old one.
     Settled,
     /// The catalogue names the new version.
     Adopted,
-    /// Given up.
+    /// Rolled back.
     TakenBack,
 }
 
-/// What moves a move along its chart.
+/// Event of `charts/move.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Signal {
-    /// The lease's holder wrote the next step.
+    /// The lease holder wrote the next step.
     Raised,
-    /// It wrote that all steps are done.
+    /// The lease holder wrote that all steps are completed.
     Settled,
-    /// It saw the new version in the catalogue.
+    /// The lease holder saw the new version in the catalogue.
     Adopted,
-    /// A node or an operator decided against the version.
+    /// A node or an operator decided to roll back.
     Judged,
 }
 
-/// Why a move was taken back.
+/// Why a move was rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The deadline passed first.
+    /// The deadline passed before the move had settled.
     Deadline,
-    /// An operator asked for it.
+    /// An operator requested it.
     Undone,
-    /// The new version's requests fail more often.
+    /// Requests fail more often on the new version.
     Failing,
-    /// The new version's first tokens come late more often.
+    /// First tokens are late more often on the new version.
     SlowFirst,
-    /// The new version's tokens come slowly more often.
+    /// Token rates are low more often on the new version.
     SlowPace,
 }
 
-/// The decision to take a move back.
+/// The decision to roll a move back.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Verdict {
-    /// Why.
+    /// Cause.
     pub cause: Cause,
-    /// Route on which it showed; empty for all together.
+    /// Affected route; empty for the total of all routes.
     pub route: CompactString,
-    /// Node that decided.
+    /// Node that made the decision.
     pub node: Incarnation,
 }
 
-/// How far a move has come. The order of the variants is the order of the lattice: [`Standing::join`]
-/// takes the higher, so that it doesn't matter in which order or how often news arrives.
+/// Progress of a move. The order of the variants is the order of the semilattice: [`Standing::join`]
+/// returns the higher one, so that updates may arrive in any order and any number of times.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// Under way, at this index of the move's steps.
+    /// In progress, at this index of the move's steps.
     Moving(u8),
-    /// Done: the new version gets every request, whatever the catalogue says.
+    /// Completed: the new version receives every request, whatever the catalogue says.
     Settled,
-    /// Done, and the catalogue names the new version: the row overrides nothing any more.
+    /// Completed, and the catalogue names the new version: the row has no effect any more.
     Adopted,
-    /// Given up for ever: above everything, so no late raise or settling can revert it.
+    /// Rolled back for good. The highest value, so that no late raise or settling can revert it.
     TakenBack(Verdict),
 }
 
 impl Standing {
-    /// The higher of the two.
+    /// Returns the higher of the two.
     #[must_use]
     pub fn join(self, other: Standing) -> Standing {
         self.max(other)
     }
 
-    /// Whether the chart lets a move go from here to `next` in one write.
+    /// Returns whether the chart permits the change to `next` in one write.
     pub fn allows(&self, next: &Standing) -> bool {
         let (to, signal) = match next {
             Standing::Moving(step) => {
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Whether another move of the entry may start.
+    /// Returns whether the move is over, so that another move of the entry may start.
     pub fn is_final(&self) -> bool {
         matches!(self, Standing::Adopted | Standing::TakenBack(_))
     }
 
-    /// The decision to take it back, if it was taken.
+    /// Returns the decision to roll the move back, if there is one.
     pub fn verdict(&self) -> Option<&Verdict> {
         match self {
             Standing::TakenBack(verdict) => Some(verdict),
--- a/crates/decide/src/mover/status.rs
+++ b/crates/decide/src/mover/status.rs
@@ -1,9 +1,9 @@
-//! What `move status` shows.
+//! Status of a move, as shown by `move status`.
 
 use {
     super::{
         evidence::{Counts, METRICS},
-        next::{Next, Pace, Waiting, next},
+        next::{Next, Progress, Waiting, progress},
         record::Move,
         standing::Standing,
         track::Track,
@@ -15,27 +15,27 @@
     tokio::time::Instant,
 };
 
-/// How a move stands.
+/// Status of a move.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Status {
     /// The move.
     pub moved: Move,
-    /// How far it has come.
+    /// Progress.
     pub standing: Standing,
-    /// Share that the table allows.
+    /// New version's share according to `standing`.
     pub share: Share,
-    /// Share that this node gives at the moment.
+    /// New version's share currently applied by this node.
     pub here: Share,
-    /// Node that steps the move, as far as known.
+    /// Last known lease holder, which advances the move.
     pub holder: Option<Incarnation>,
-    /// Whether this is that node.
+    /// Whether this node holds the lease.
     pub held: bool,
     /// Milliseconds until the deadline.
     pub left: Millis,
-    /// What it waits for.
+    /// Condition that the next change waits for.
     pub waiting: Waiting,
-    /// What it does then.
+    /// Next change.
     pub next: Next,
     /// Evidence by route.
     pub routes: Vec<RouteStatus>,
@@ -51,7 +51,7 @@
     pub old: Side,
     /// The new version's requests.
     pub new: Side,
-    /// Accounts that the new version served; at most 64 are distinguished.
+    /// Accounts served by the new version; at most 64 are distinguished.
     pub accounts: u32,
 }
 
@@ -59,13 +59,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Side {
-    /// Ended.
+    /// Ended requests.
     pub ended: u32,
-    /// Failed.
+    /// Failed requests.
     pub failed: u32,
-    /// Late first token.
+    /// Requests with a late first token.
     pub late: u32,
-    /// Slow pace.
+    /// Requests with a low token rate.
     pub slow: u32,
 }
 
@@ -88,10 +88,10 @@
 
 pub(super) fn status(track: &Track, now: Instant, wall: Millis, me: Incarnation) -> Option<Status> {
     let row = track.row.as_ref()?;
-    let Pace { waiting, next } = next(track, now, wall);
+    let Progress { waiting, next } = progress(track, now, wall);
     let here = match track.split(now) {
         Some(split) => split.share(now),
-        // Without a split the catalogue's version gets every request.
+        // Without a split, the catalogue's version receives every request.
         None if track.version == row.moved.to => Share::ALL,
         None => Share::NONE,
     };
@@ -101,7 +101,7 @@
         share: row.moved.share(&track.standing),
         here,
         holder: track.lease.holder(),
-        held: track.lease.held(now, me).is_some(),
+        held: track.lease.fence(now, me).is_some(),
         left: row.moved.by.saturating_sub(wall),
         waiting,
         next,
--- a/crates/decide/src/mover/update.rs
+++ b/crates/decide/src/mover/update.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about a move, and how fresh a node's own knowledge is.
+//! Messages between nodes about a move, and the age of a node's information.
 
 use {
     super::{evidence::Evidence, record::MoveId, standing::Verdict},
@@ -13,38 +13,38 @@
 };
 
 /// Time for which a share is valid after the last update from the table or from all peers.
-pub const FRESH: Duration = Duration::from_millis(2_500);
-/// Time between two messages.
-pub const TELL: Duration = Duration::from_millis(500);
-/// Own messages remembered.
-const SENT: usize = 32;
-/// Most acknowledgements in a message.
-const ACKS: usize = 64;
+pub const SHARE_TTL: Duration = Duration::from_millis(2_500);
+/// Interval of messages to the peers.
+pub const BROADCAST_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of own messages whose send times are remembered.
+const MAX_SENT: usize = 32;
+/// Maximum number of acknowledgements in a message.
+const MAX_ACKS: usize = 64;
 
 /// One node's message about one entry's move.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct MoveUpdate {
-    /// Who says it.
+    /// Sender.
     pub from: Incarnation,
-    /// Its number among the sender's messages about this entry.
+    /// Sequence number among the sender's messages about this entry.
     pub sequence: u64,
-    /// Latest message got from each peer.
+    /// Highest sequence number received from each peer.
     pub acks: Vec<(Incarnation, u64)>,
     /// Catalogue entry.
     pub entry: CompactString,
-    /// The move the sender knows of.
+    /// Latest move known to the sender.
     pub id: MoveId,
-    /// The decision to take it back, if the sender knows of one.
+    /// The decision to roll it back, if the sender knows of one.
     pub verdict: Option<Verdict>,
-    /// The sender's counters, when they have changed.
+    /// The sender's counters, if they changed since its last message.
     pub evidence: Option<Evidence>,
 }
 
-/// Age of the information a share is based on.
+/// Age of the information that a share is based on.
 ///
-/// A message may have been buffered while this node was suspended. A peer's message is therefore as
-/// old as the last of our own messages that it acknowledges, by our clock.
+/// A message may have been buffered while this node was suspended. The age of a peer's message is
+/// therefore the age of the latest own message that it acknowledges, by this node's clock.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
     table: Option<Instant>,
@@ -60,7 +60,7 @@
 }
 
 impl Freshness {
-    /// Sets the peers that must be reachable while the table is not.
+    /// Sets the peers, all of which must be reachable while the table is not.
     pub fn set_peers(&mut self, peers: &[Incarnation]) {
         self.peers.retain(|peer, _| peers.contains(peer));
         for peer in peers {
@@ -68,54 +68,54 @@
         }
     }
 
-    /// How many nodes there are, this one too.
+    /// Returns the number of nodes, including this one.
     pub fn nodes(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// The table answered a question sent at `sent`.
-    pub fn table(&mut self, sent: Instant) {
-        self.table = self.table.max(Some(sent));
+    /// Records that the table responded to a request that was sent at `sent_at`.
+    pub fn table_responded(&mut self, sent_at: Instant) {
+        self.table = self.table.max(Some(sent_at));
     }
 
-    /// Numbers a message sent at `now`, and says what to acknowledge in it.
-    pub fn send(&mut self, now: Instant) -> (u64, Vec<(Incarnation, u64)>) {
+    /// Returns the sequence number and the acknowledgements of a message sent at `now`.
+    pub fn next_message(&mut self, now: Instant) -> (u64, Vec<(Incarnation, u64)>) {
         self.next += 1;
         self.sent.push_back((self.next, now));
-        if self.sent.len() > SENT {
+        if self.sent.len() > MAX_SENT {
             self.sent.pop_front();
         }
-        let acked_peer = self.peers.iter().filter(|(_, h)| h.sequence > 0);
-        (self.next, acked_peer.map(|(peer, h)| (*peer, h.sequence)).take(ACKS).collect())
+        let heard_from = self.peers.iter().filter(|(_, p)| p.sequence > 0);
+        (self.next, heard_from.map(|(peer, p)| (*peer, p.sequence)).take(MAX_ACKS).collect())
     }
 
-    /// A peer's message came.
-    pub fn hear(&mut self, me: Incarnation, news: &MoveUpdate) {
-        let Some(acked_peer) = self.peers.get_mut(&news.from) else { return };
-        acked_peer.sequence = acked_peer.sequence.max(news.sequence);
-        let ack = news.acks.iter().find(|(peer, _)| *peer == me);
+    /// Handles a peer's message.
+    pub fn receive(&mut self, me: Incarnation, update: &MoveUpdate) {
+        let Some(peer) = self.peers.get_mut(&update.from) else { return };
+        peer.sequence = peer.sequence.max(update.sequence);
+        let ack = update.acks.iter().find(|(peer, _)| *peer == me);
         let sent = ack.and_then(|(_, ack)| self.sent.iter().find(|(number, _)| number == ack));
         if let Some((_, at)) = sent {
-            acked_peer.acked = acked_peer.acked.max(Some(*at));
+            peer.acked = peer.acked.max(Some(*at));
         }
     }
 
-    /// Time until which the information is valid; `None` if there is none.
-    pub fn until(&self) -> Option<Instant> {
-        let oldest = self.peers.values().map(|h| h.acked).min().flatten();
-        self.table.max(oldest).map(|at| at + FRESH)
+    /// Returns the time until which the information is valid; `None` if there is none.
+    pub fn valid_until(&self) -> Option<Instant> {
+        let oldest = self.peers.values().map(|p| p.acked).min().flatten();
+        self.table.max(oldest).map(|at| at + SHARE_TTL)
     }
 }
 
-/// Received verdicts, including those of unknown moves.
+/// Received verdicts, including those on moves that this node doesn't know yet.
 #[derive(Clone, Debug, Default)]
 pub struct Verdicts(VecDeque<(MoveId, Verdict)>);
 
 impl Verdicts {
-    /// Most moves of one entry whose verdict is remembered.
-    const KEPT: usize = 16;
+    /// Maximum number of moves of one entry whose verdict is remembered.
+    const MAX_MOVES: usize = 16;
 
-    /// Adds a verdict; says whether it changed anything.
+    /// Adds a verdict; returns whether it is new or higher than the known one.
     pub fn add(&mut self, id: MoveId, verdict: &Verdict) -> bool {
         if let Some((_, known)) = self.0.iter_mut().find(|(known, _)| *known == id) {
             let higher = verdict > known;
@@ -124,14 +124,14 @@
             }
             return higher;
         }
-        if self.0.len() == Verdicts::KEPT {
+        if self.0.len() == Verdicts::MAX_MOVES {
             self.0.pop_front();
         }
         self.0.push_back((id, verdict.clone()));
         true
     }
 
-    /// The verdict on a move.
+    /// Returns the verdict on a move.
     pub fn get(&self, id: MoveId) -> Option<&Verdict> {
         self.0.iter().find(|(known, _)| *known == id).map(|(_, v)| v)
     }
--- a/crates/decide/src/mover/verdict.rs
+++ b/crates/decide/src/mover/verdict.rs
@@ -1,17 +1,18 @@
-//! Whether the evidence says that the new version is worse.
+//! Sequential test of whether the new version is worse than the old one.
 //!
-//! Every node looks at the evidence many times a second, so a fixed-size test would find "worse"
-//! sooner or later in any good version (Johari et al. 2017, "Peeking at A/B tests"). The running
-//! likelihood ratios of [`super::evidence`] are non-negative supermartingales while the version is no
-//! worse, as in Wald's sequential test (1945). By Ville's inequality (1939; Robbins 1970) their mean
-//! over several claims exceeds `1/a` at any time of a whole move with a probability of at most `a`.
-//! For versions that turn bad later, a new ratio starts at each of [`EPOCHS`] times, and the mean
-//! is taken over the starts too: that costs a fixed factor and leaves the bound in force. Routes, kinds of bad event and nodes share
-//! the permitted probability equally.
+//! Every node evaluates the evidence several times per second, so a fixed-size test would sooner or
+//! later reject any good version (Johari et al. 2017, "Peeking at A/B tests"). The running likelihood
+//! ratios of [`super::evidence`] are non-negative supermartingales as long as the version is no
+//! worse, as in Wald's sequential test (1945). By Ville's inequality (1939; Robbins 1970), the
+//! probability that their mean over several hypotheses ever exceeds `1/a` during a move is at most
+//! `a`. To detect versions that turn bad later, a new ratio starts at each of [`EPOCHS`] times, and
+//! the mean is taken over these starts too. This costs a constant factor of detection speed and keeps
+//! the bound valid. The permitted probability is divided equally among routes, kinds of bad event and
+//! nodes.
 
 use {
     super::{
-        evidence::{Counts, METRICS, RATIOS, ROUTES},
+        evidence::{Counts, MAX_ROUTES, METRICS, RATIOS},
         standing::Cause,
     },
     compact_str::CompactString,
@@ -19,42 +20,53 @@
     tokio::time::Instant,
 };
 
-/// Probability that a good version is taken back for its evidence, in a whole move.
+/// Probability that a good version is rolled back because of its evidence, over a whole move.
 pub const FALSE_ALARM: f64 = 0.01;
-/// Times at which a new ratio starts.
+/// Number of times at which a new ratio starts.
 pub const EPOCHS: u32 = 64;
 /// Weight of the ratio that starts with the move.
-const FIRST_WEIGHT: f64 = 0.25;
-/// Cells tested: routes, the one for further routes, and all together, for each kind of bad event.
-const CELLS: f64 = ((ROUTES + 2) * METRICS) as f64;
-
-/// Bad events, less the credit of good ones, that make a version suspect.
-const SUSPECT: f64 = 4.0;
-/// How much of a bad event a good one makes up for. Failures are rare in a good version; late and
-/// slow requests are some in a hundred.
+const INITIAL_WEIGHT: f64 = 0.25;
+/// Number of tested cells: for each kind of bad event, the routes, [`super::evidence::OTHER`] and the
+/// total.
+const CELLS: f64 = ((MAX_ROUTES + 2) * METRICS) as f64;
+
+/// Score at which a version becomes suspect: bad events less the credit of good ones.
+const SUSPECT_SCORE: f64 = 4.0;
+/// Fraction of a bad event that a good request compensates, by kind. On a good version, failures are
+/// rare, while a few percent of the requests are late or slow.
 const GOOD_CREDIT: [f64; METRICS] = [0.1, 0.25, 0.25];
-/// Score at which a suspicion is cleared, by good requests on the same route.
-const CLEARED: f64 = 1.0;
-/// Length of the first suspicion; each further one is twice as long, up to [`SUSPECT_MOST`].
-const SUSPECT_HOLD: Duration = Duration::from_secs(10);
-/// Longest suspicion.
-const SUSPECT_MOST: Duration = Duration::from_secs(160);
+/// Score at which a suspicion is cleared by good requests on the same route.
+const CLEARED_SCORE: f64 = 1.0;
+/// Duration of the first suspicion; each further one is twice as long, up to [`MAX_SUSPICION`].
+const MIN_SUSPICION: Duration = Duration::from_secs(10);
+/// Maximum duration of a suspicion.
+const MAX_SUSPICION: Duration = Duration::from_secs(160);
 
 const CAUSES: [Cause; METRICS] = [Cause::Failing, Cause::SlowFirst, Cause::SlowPace];
 
+/// Test of one kind of bad event on one route.
 #[derive(Clone, Debug)]
 struct Cell {
+    /// Log-likelihood ratios of the last evaluation.
     logs: [f64; RATIOS.len()],
+    /// Logarithm of the weighted sum of the ratios over all starts, for each hypothesis.
     ratios: [f64; RATIOS.len()],
+    /// Bad events and requests of the new version at the last evaluation.
     seen: [u32; 2],
     score: f64,
-    suspect: bool,
+    is_suspect: bool,
 }
 
 impl Cell {
-    /// A cell whose starting times so far have the sum of weights `weight`.
+    /// Creates a cell; `weight` is the total weight of the starts so far.
     fn new(weight: f64) -> Cell {
-        Cell { logs: [0.0; 4], ratios: [weight.ln(); 4], seen: [0; 2], score: 0.0, suspect: false }
+        Cell {
+            logs: [0.0; 4],
+            ratios: [weight.ln(); 4],
+            seen: [0; 2],
+            score: 0.0,
+            is_suspect: false,
+        }
     }
 
     fn update(&mut self, counts: &Counts, metric: usize) {
@@ -67,105 +79,109 @@
         let all = f64::from(counts.new.saturating_sub(self.seen[1]));
         self.seen = [tally.new, counts.new];
         self.score = (self.score + bad - GOOD_CREDIT[metric] * (all - bad).max(0.0)).max(0.0);
-        self.suspect = self.score >= SUSPECT || self.suspect && self.score > CLEARED;
+        self.is_suspect =
+            self.score >= SUSPECT_SCORE || self.is_suspect && self.score > CLEARED_SCORE;
     }
 
-    /// Logarithm of the mean ratio.
-    fn value(&self) -> f64 {
+    /// Returns the logarithm of the mean ratio.
+    fn log_mean(&self) -> f64 {
         let top = self.ratios.into_iter().fold(f64::NEG_INFINITY, f64::max);
         let sum: f64 = self.ratios.iter().map(|r| (r - top).exp()).sum();
         top + (sum / RATIOS.len() as f64).ln()
     }
 }
 
-/// What was found against a version.
+/// Evidence that the new version is worse.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Kind of bad event.
     pub cause: Cause,
-    /// Route, or empty for all together.
+    /// Route; empty for the total of all routes.
     pub route: CompactString,
 }
 
-/// Judges one move.
+/// Sequential test for one move.
 #[derive(Clone, Debug)]
 pub struct SequentialTest {
-    began: Instant,
+    started: Instant,
     epoch: u32,
-    length: Duration,
+    epoch_length: Duration,
+    /// By route and kind of bad event.
     cells: BTreeMap<(CompactString, usize), Cell>,
-    suspected: Option<Instant>,
-    hold: Duration,
+    suspect_until: Option<Instant>,
+    /// Duration of the next suspicion.
+    next_suspicion: Duration,
 }
 
 impl SequentialTest {
-    /// A judge of a move that began at `now` and has `time` until its deadline.
+    /// Creates a test for a move that started at `now` and has `time` until its deadline.
     pub fn new(now: Instant, time: Duration) -> SequentialTest {
-        let length = (time / EPOCHS).max(Duration::from_secs(1));
+        let epoch_length = (time / EPOCHS).max(Duration::from_secs(1));
         SequentialTest {
-            began: now,
+            started: now,
             epoch: 0,
-            length,
+            epoch_length,
             cells: BTreeMap::new(),
-            suspected: None,
-            hold: SUSPECT_HOLD,
+            suspect_until: None,
+            next_suspicion: MIN_SUSPICION,
         }
     }
 
-    /// Looks at the evidence by route, as one of `nodes` nodes that do so.
+    /// Evaluates the evidence by route, as one of `nodes` nodes that do so.
     pub fn evaluate(
         &mut self,
         now: Instant,
         routes: &BTreeMap<CompactString, Counts>,
         nodes: usize,
     ) -> Option<Finding> {
-        self.restart(now);
+        self.start_ratios(now);
         let mut total = Counts::default();
         routes.values().for_each(|c| total.add(c));
         let all = (CompactString::default(), total);
         let bound = (CELLS * nodes.max(1) as f64 / FALSE_ALARM).ln();
         let weight = self.weight();
-        let mut found = None;
-        let mut suspect = false;
+        let mut finding = None;
+        let mut is_suspect = false;
         for (route, counts) in routes.iter().map(|(r, c)| (r.clone(), *c)).chain([all]) {
             for (metric, cause) in CAUSES.into_iter().enumerate() {
                 let key = (route.clone(), metric);
                 let cell = self.cells.entry(key).or_insert_with(|| Cell::new(weight));
                 cell.update(&counts, metric);
-                suspect |= cell.suspect;
-                if cell.value() >= bound && is_broad(&counts, metric) {
-                    found = found.or(Some(Finding { cause, route: route.clone() }));
+                is_suspect |= cell.is_suspect;
+                if cell.log_mean() >= bound && affects_several_runners(&counts, metric) {
+                    finding = finding.or(Some(Finding { cause, route: route.clone() }));
                 }
             }
         }
-        if suspect {
+        if is_suspect {
             self.suspect(now);
         }
-        found
+        finding
     }
 
-    /// Begins or goes on with a suspicion.
+    /// Starts or extends a suspicion.
     ///
-    /// A version that is bad under load only looks well again at the smaller share. With suspicions
-    /// of one length it would get its load back every few seconds, for the rest of the move.
+    /// A version that is only bad under load recovers at the smaller share. With suspicions of
+    /// constant duration, it would receive the full load again every few seconds, for the rest of
+    /// the move.
     fn suspect(&mut self, now: Instant) {
-        match self.suspected {
-            Some(until) if now < until => self.suspected = Some(until.max(now + SUSPECT_HOLD)),
+        match self.suspect_until {
+            Some(until) if now < until => self.suspect_until = Some(until.max(now + MIN_SUSPICION)),
             _ => {
-                self.suspected = Some(now + self.hold);
-                self.hold = (self.hold * 2).min(SUSPECT_MOST);
+                self.suspect_until = Some(now + self.next_suspicion);
+                self.next_suspicion = (self.next_suspicion * 2).min(MAX_SUSPICION);
             }
         }
     }
 
-    /// Whether the new version looks bad, without the proof yet: it then gets a smaller share, at
-    /// which the old version's part of the requests is large enough to compare soon.
+    /// Returns whether the new version appears bad, but without sufficient evidence yet. It then
+    /// receives a smaller share, at which the old version serves enough requests for a comparison.
     pub fn is_suspect(&self, now: Instant) -> bool {
-        self.suspected.is_some_and(|until| now < until)
+        self.suspect_until.is_some_and(|until| now < until)
     }
 
-    fn restart(&mut self, now: Instant) {
-        let due = (now - self.began).div_duration_f64(self.length) as u32;
+    fn start_ratios(&mut self, now: Instant) {
+        let due = (now - self.started).div_duration_f64(self.epoch_length) as u32;
         while self.epoch < due.min(EPOCHS - 1) {
             self.epoch += 1;
             let weight = later_weight();
@@ -176,16 +192,17 @@
     }
 
     fn weight(&self) -> f64 {
-        FIRST_WEIGHT + f64::from(self.epoch) * later_weight()
+        INITIAL_WEIGHT + f64::from(self.epoch) * later_weight()
     }
 }
 
 fn later_weight() -> f64 {
-    (1.0 - FIRST_WEIGHT) / f64::from(EPOCHS - 1)
+    (1.0 - INITIAL_WEIGHT) / f64::from(EPOCHS - 1)
 }
 
-/// A single runner that dies or limps gives bad events on its own version only, and would look like a
-/// bad version. Bad events from two runners are needed, unless only one was ever seen.
-fn is_broad(counts: &Counts, metric: usize) -> bool {
+/// Returns whether the bad events come from at least two runners, or there is only one. A single
+/// failed or slow runner causes bad events on its own version only, which would otherwise look like a
+/// bad version.
+fn affects_several_runners(counts: &Counts, metric: usize) -> bool {
     counts.bad[metric].runners.count_ones() >= 2 || counts.runners.count_ones() <= 1
 }
--- a/crates/decide/tests/mover/parts.rs
+++ b/crates/decide/tests/mover/parts.rs
@@ -5,7 +5,7 @@
         id::Incarnation,
         mover::{
             MoveId, MoveRow, Share, Split, Weights,
-            lease::{Lease, RENEW, TAKE_OVER, TTL},
+            lease::{Lease, RENEW_AFTER, TAKE_OVER_AFTER, TTL},
             record::RowError,
             schedule::{MIN_SOAK, plan},
         },
@@ -24,18 +24,18 @@
 fn holder_stops_before_another_may_take_over() {
     let zero = Instant::now();
     let (mut a, mut b) = (Lease::default(), Lease::default());
-    a.see(zero, 0, None);
-    b.see(zero, 0, None);
-    let row = a.write(zero, A, 7);
+    a.observe(zero, 0, None);
+    b.observe(zero, 0, None);
+    let row = a.prepare_write(zero, A, 7);
     let seen = zero + Duration::from_millis(700);
-    a.see(seen, 1, Some(row));
-    b.see(seen, 1, Some(row));
-    assert_eq!(a.held(seen, A), Some(1));
-    assert!(!a.is_due(seen, A) && a.is_due(zero + RENEW, A));
+    a.observe(seen, 1, Some(row));
+    b.observe(seen, 1, Some(row));
+    assert_eq!(a.fence(seen, A), Some(1));
+    assert!(!a.is_due(seen, A) && a.is_due(zero + RENEW_AFTER, A));
     let end = zero + TTL;
-    assert_eq!(a.held(end, A), None);
-    assert!(!b.is_due(end, B) && b.is_due(seen + TAKE_OVER, B));
-    assert_eq!(b.write(seen + TAKE_OVER, B, 8).fence, 2);
+    assert_eq!(a.fence(end, A), None);
+    assert!(!b.is_due(end, B) && b.is_due(seen + TAKE_OVER_AFTER, B));
+    assert_eq!(b.prepare_write(seen + TAKE_OVER_AFTER, B, 8).fence, 2);
 }
 
 /// A stale read arrives after a newer one. The older row must not come back into force.
@@ -43,13 +43,13 @@
 fn older_lease_row_is_ignored() {
     let zero = Instant::now();
     let mut a = Lease::default();
-    a.see(zero, 0, None);
-    let row = a.write(zero, A, 7);
-    a.see(zero, 1, Some(row));
-    let other = Lease::default().write(zero, B, 9);
-    a.see(zero, 2, Some(other));
-    a.see(zero, 1, Some(row));
-    assert_eq!((a.held(zero, A), a.holder()), (None, Some(B)));
+    a.observe(zero, 0, None);
+    let row = a.prepare_write(zero, A, 7);
+    a.observe(zero, 1, Some(row));
+    let other = Lease::default().prepare_write(zero, B, 9);
+    a.observe(zero, 2, Some(other));
+    a.observe(zero, 1, Some(row));
+    assert_eq!((a.fence(zero, A), a.holder()), (None, Some(B)));
 }
 
 #[test]
