--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -2,7 +2,7 @@
 
 use {
     bilberryfront_decide::{
-        Action, Core, Event, Place,
+        Action, Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
         event::{Ask, Done, PeerUse, Purpose, Verdict},
         id::{AccountKey, EntryKey, Ticket},
@@ -79,7 +79,7 @@
 
 /// A core whose entries have this limit and that knows the list, and the load and caches of the runners that it watches.
 fn core(list: &InstanceList, concurrent: u32) -> Core {
-    let place = Place { region: "region-0".into(), domain: "domain-0".into() };
+    let place = Location { region: "region-0".into(), domain: "domain-0".into() };
     let mut core = Core::new(1, place);
     let now = Instant::now();
     let catalog = Arc::new(Catalog::default().renew(1, &doc(concurrent)));
--- a/crates/decide/examples/spread.rs
+++ b/crates/decide/examples/spread.rs
@@ -5,7 +5,7 @@
 
 use {
     bilberryfront_decide::{
-        Action, Core, Event, Place,
+        Action, Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
         event::{Ask, Done, Purpose, Verdict},
         id::{AccountKey, EntryKey, RunnerKey, Ticket},
@@ -132,7 +132,7 @@
     fn new(policy: Policy) -> Trial {
         let catalog = Arc::new(Catalog::default().renew(1, &doc()));
         let start = Instant::now();
-        let place = |i: usize| Place { region: "r".into(), domain: domain(i) };
+        let place = |i: usize| Location { region: "r".into(), domain: domain(i) };
         let mut nodes = (0..NODES).map(|i| Core::new(i as u64 + 1, place(i))).collect::<Vec<_>>();
         for core in &mut nodes {
             core.step(
--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -9,7 +9,7 @@
         fleet::Fleet,
         id::{AccountKey, EntryKey, Revision, RunnerKey, Ticket},
         limits::{Limits, Scope},
-        place::Place,
+        location::Location,
     },
     bilberryfront_wire::instance::Instance,
     rustc_hash::FxHashMap,
@@ -60,7 +60,7 @@
 impl Core {
     /// A core that knows nothing yet, of a node at `place`. Equal seeds decide equally; the seed
     /// also tells the nodes apart when each chooses the runners that it talks to.
-    pub fn new(seed: u64, place: Place) -> Core {
+    pub fn new(seed: u64, place: Location) -> Core {
         Core {
             catalog: Arc::default(),
             access: FxHashMap::default(),
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -4,7 +4,7 @@
     crate::{
         event::{Done, Verdict},
         id::{PoolKey, RunnerKey, Ticket},
-        place::Place,
+        location::Location,
         route::{Pool, Runners, View, Want, name_hash},
         runner::{Runner, RunnerChart, chart},
     },
@@ -35,7 +35,7 @@
     pools: SlotMap<PoolKey, Pool>,
     entries: FxHashMap<CompactString, Vec<PoolKey>>,
     chart: RunnerChart,
-    place: Place,
+    place: Location,
     seed: u64,
     revision: u64,
     round: u64,
@@ -45,7 +45,7 @@
 
 impl Fleet {
     /// No runners yet.
-    pub(crate) fn new(seed: u64, place: Place) -> Fleet {
+    pub(crate) fn new(seed: u64, place: Location) -> Fleet {
         Fleet {
             runners: Runners::with_key(),
             names: FxHashMap::default(),
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -19,9 +19,9 @@
 mod load;
 pub mod member;
 pub mod mover;
-pub mod place;
+pub mod location;
 mod queue;
 mod route;
 mod runner;
 
-pub use crate::{action::Action, core::Core, event::Event, place::Place};
+pub use crate::{action::Action, core::Core, event::Event, location::Location};
--- a/crates/decide/tests/routing/affinity.rs
+++ b/crates/decide/tests/routing/affinity.rs
@@ -3,7 +3,7 @@
 use {
     crate::world::{V1, World, engine, grants, held, node, report},
     bilberryfront_decide::{
-        Core, Event, Place,
+        Core, Event, Location,
         catalog::Limits,
         event::{Ask, Purpose, Verdict},
         id::Ticket,
@@ -168,7 +168,7 @@
     let mut seen = BTreeSet::new();
     for seed in 0..60 {
         let domain = DOMAINS[seed as usize % 3].into();
-        let mut core = Core::new(seed, Place { region: "east-mids".into(), domain });
+        let mut core = Core::new(seed, Location { region: "east-mids".into(), domain });
         let now = tokio::time::Instant::now();
         core.step(now, Event::Instances(list.clone()), &mut Vec::new());
         seen.extend(core.watched().map(|(_, r)| r.name.to_string()));
--- a/crates/decide/tests/routing/world.rs
+++ b/crates/decide/tests/routing/world.rs
@@ -3,7 +3,7 @@
 
 use {
     bilberryfront_decide::{
-        Action, Core, Event, Place,
+        Action, Core, Event, Location,
         action::{Grant, Reason, Refuse},
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
         event::{Ask, Done, PeerUse, Purpose, Verdict},
@@ -36,7 +36,7 @@
     pub(crate) fn new(seed: u64, limits: Limits, bounds: &[u32]) -> World {
         let names = (0..bounds.len()).map(|i| format!("account-{i}")).collect::<Vec<_>>();
         let catalog = Arc::new(Catalog::default().renew(1, &doc(limits, &names, bounds)));
-        let place = Place { region: "east-mids".into(), domain: "a".into() };
+        let place = Location { region: "east-mids".into(), domain: "a".into() };
         let mut world = World {
             core: Core::new(seed, place),
             now: Instant::now(),
--- a/crates/scenarios/src/node.rs
+++ b/crates/scenarios/src/node.rs
@@ -23,7 +23,7 @@
         traffic::services::Services,
     },
     bilberryfront_decide::{
-        Core, Event, Place,
+        Core, Event, Location,
         id::Incarnation,
         member::{Drain, Me, Members, message},
         mover::Mover,
@@ -176,8 +176,8 @@
     }
 }
 
-fn location() -> Place {
-    Place { region: "region".into(), domain: "domain-1".into() }
+fn location() -> Location {
+    Location { region: "region".into(), domain: "domain-1".into() }
 }
 
 fn me(name: &str, seed: u64) -> Me {
--- a/examples/measure/control/state.rs
+++ b/examples/measure/control/state.rs
@@ -5,7 +5,7 @@
     crate::process::own_resident,
     bilberryfront::control::view::Published,
     bilberryfront_decide::{
-        Core, Event, Place,
+        Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
         event::PeerUse,
         id::Incarnation,
@@ -133,7 +133,7 @@
 }
 
 fn core(list: &InstanceList) -> Core {
-    let location = Place { region: "region-0".into(), domain: "east-mids-0".into() };
+    let location = Location { region: "region-0".into(), domain: "east-mids-0".into() };
     let mut core = Core::new(1, location);
     let (now, doc) = (Instant::now(), Arc::new(doc(750)));
     core.step(now, Event::Catalog { revision: 1, doc }, &mut Vec::new());
--- a/src/node/control_thread.rs
+++ b/src/node/control_thread.rs
@@ -12,13 +12,12 @@
         settings::Settings,
     },
     bilberryfront_decide::{
-        Core,
+        Core, location,
         member::{
             Drain, Members,
             message::{Life, NodeLocation},
         },
         mover::Mover,
-        place,
     },
     compact_str::format_compact,
     std::{
@@ -99,7 +98,7 @@
     let membership = membership(&parts, net, address);
     tokio::spawn(membership.run(received, listed));
     let location =
-        place::Place { region: settings.region.clone(), domain: settings.domain.clone() };
+        location::Location { region: settings.region.clone(), domain: settings.domain.clone() };
     let core = Core::new(rand::random(), location);
     control::drive(core, inbox.events, published.clone()).await;
 }
--- a/tests/catalogue_keys.rs
+++ b/tests/catalogue_keys.rs
@@ -9,7 +9,7 @@
         },
     },
     bilberryfront_decide::{
-        Core, Place,
+        Core, Location,
         catalog::{Catalog, CatalogDoc, Class, Entry, Kind, Limits},
     },
     std::sync::Arc,
@@ -38,7 +38,7 @@
         control.catalog(numbered);
     }
     drop(control);
-    drive(Core::new(1, Place::default()), receiver, published.clone()).await;
+    drive(Core::new(1, Location::default()), receiver, published.clone()).await;
     published.load()
 }
 
