--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -138,7 +138,7 @@
         for action in out.drain(..) {
             match action {
                 Action::Grant(grant) => running.push_back(grant.ticket),
-                Action::Refuse(_) => assert!(queued, "a refusal must not pass for a grant"),
+                Action::Reject(_) => assert!(queued, "a refusal must not pass for a grant"),
             }
         }
     }
--- a/crates/decide/examples/spread.rs
+++ b/crates/decide/examples/spread.rs
@@ -229,7 +229,7 @@
                     let runner = self.keys[node].iter().position(|k| *k == grant.runner);
                     self.send(node, runner.expect("a known runner"), grant.ticket);
                 }
-                Action::Refuse(refuse) => {
+                Action::Reject(refuse) => {
                     self.open.remove(&refuse.ticket);
                     self.refused += 1;
                 }
--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -11,8 +11,8 @@
 pub enum Action {
     /// Send the request to this runner.
     Grant(Grant),
-    /// Refuse the request, at once.
-    Refuse(Refuse),
+    /// Reject the request.
+    Reject(Rejection),
 }
 
 /// A runner for a request.
@@ -30,7 +30,7 @@
 
 /// No runner for a request. Nothing of it was sent for this ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refuse {
+pub struct Rejection {
     /// The request.
     pub ticket: Ticket,
     /// Why.
--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        action::{Action, Reason, Refuse},
+        action::{Action, Reason, Rejection},
         catalog::{Catalog, CatalogDoc, Entry},
         core::lane::Lane,
         event::{Ask, Done, Event, Verdict},
@@ -209,7 +209,7 @@
         out: &mut Vec<Action>,
     ) {
         self.close(ticket);
-        out.push(Action::Refuse(Refuse { ticket, reason, retry }));
+        out.push(Action::Reject(Rejection { ticket, reason, retry }));
     }
 
     fn pump_all(&mut self, now: Instant, out: &mut Vec<Action>) {
--- a/crates/decide/tests/routing/differential.rs
+++ b/crates/decide/tests/routing/differential.rs
@@ -273,7 +273,7 @@
         for action in &out {
             match action {
                 Action::Grant(grant) => self.check_grant(grant),
-                Action::Refuse(refuse) => {
+                Action::Reject(refuse) => {
                     self.request(refuse.ticket);
                     self.requests.retain(|r| r.ask.ticket != refuse.ticket);
                 }
--- a/crates/decide/tests/routing/world.rs
+++ b/crates/decide/tests/routing/world.rs
@@ -4,7 +4,7 @@
 use {
     bilberryfront_decide::{
         Action, Core, Event, Location,
-        action::{Grant, Reason, Refuse},
+        action::{Grant, Reason, Rejection},
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
         event::{Ask, Done, PeerUse, Purpose, Verdict},
         id::{AccountKey, EntryKey, RunnerKey, Ticket},
@@ -162,14 +162,14 @@
 pub(crate) fn grants(out: &[Action]) -> Vec<Grant> {
     let grants = out.iter().filter_map(|a| match a {
         Action::Grant(grant) => Some(grant.clone()),
-        Action::Refuse(_) => None,
+        Action::Reject(_) => None,
     });
     grants.collect()
 }
 
-pub(crate) fn refusals(out: &[Action]) -> Vec<Refuse> {
+pub(crate) fn refusals(out: &[Action]) -> Vec<Rejection> {
     let refusals = out.iter().filter_map(|a| match a {
-        Action::Refuse(refuse) => Some(*refuse),
+        Action::Reject(refuse) => Some(*refuse),
         Action::Grant(_) => None,
     });
     refusals.collect()
--- a/src/control.rs
+++ b/src/control.rs
@@ -12,7 +12,7 @@
     },
     bilberryfront_decide::{
         Action, Core, Event,
-        action::{Grant, Reason, Refuse},
+        action::{Grant, Reason, Rejection},
         event::{Ask, Done},
         id::Ticket,
     },
@@ -33,7 +33,7 @@
 };
 
 /// A result whose error is the core's refusal.
-pub type Result<T> = std::result::Result<T, Refuse>;
+pub type Result<T> = std::result::Result<T, Rejection>;
 
 /// Events taken in one go before actions are carried out.
 const BATCH: usize = 64;
@@ -115,7 +115,7 @@
     pub async fn ask(&self, ask: Ask) -> Result<Grant> {
         let ticket = ask.ticket;
         let (answer, wait) = oneshot::channel();
-        let gone = Refuse { ticket, reason: Reason::NoRunner, retry: None };
+        let gone = Rejection { ticket, reason: Reason::NoRunner, retry: None };
         if self.sender.send(Message::Ask(ask, answer)).is_err() {
             return Err(gone);
         }
@@ -211,7 +211,7 @@
             let taken = asks.remove(&ticket).is_some_and(|a| a.send(Ok(grant)).is_ok());
             (!taken).then(|| Done::cancelled(ticket))
         }
-        Action::Refuse(refuse) => {
+        Action::Reject(refuse) => {
             if let Some(answer) = asks.remove(&refuse.ticket) {
                 _ = answer.send(Err(refuse));
             }
--- a/src/traffic/problem.rs
+++ b/src/traffic/problem.rs
@@ -1,7 +1,7 @@
 //! Error answers.
 
 use {
-    bilberryfront_decide::action::{Reason, Refuse},
+    bilberryfront_decide::action::{Reason, Rejection},
     bilberryfront_wire::problem::{PROBLEM_JSON, Problem, Run},
     compact_str::format_compact,
     http::{StatusCode, header},
@@ -154,7 +154,7 @@
 }
 
 /// Problem document for a rejection by the core.
-pub fn refusal(refuse: &Refuse) -> Problem {
+pub fn refusal(refuse: &Rejection) -> Problem {
     let (kind, detail) = match refuse.reason {
         Reason::NoEntry => (Kind::UnknownEntry, "the entry was just taken out of the catalogue"),
         Reason::NoAccess => (Kind::Forbidden, "ask the entry's owner for access"),
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -17,7 +17,7 @@
         metrics::{Counter, Timing},
     },
     bilberryfront_decide::{
-        action::{Grant, Reason, Refuse},
+        action::{Grant, Reason, Rejection},
         event::{Ask, Purpose, Verdict},
         generation::{Generation, Phase, Take},
         id::{RunnerKey, Ticket},
@@ -279,7 +279,7 @@
     /// No runner for now: starts over where no token was seen and another version may serve it, else
     /// ends at once. A request refused for lack of budget is not started over: that would go round
     /// the budget, and its retries would overload the runners that are left.
-    fn refused(&mut self, refuse: &Refuse) -> Option<Piece> {
+    fn refused(&mut self, refuse: &Rejection) -> Option<Piece> {
         let missing = refuse.reason == Reason::NoRunner;
         let unseen = self.generation.restart() || self.generation.pin().is_none();
         if missing && unseen && (self.purpose == Purpose::Again || self.chooser.fall_back()) {
