--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -4,7 +4,7 @@
     bilberryfront_decide::{
         Action, Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
-        event::{Ask, Done, PeerUse, Purpose, Verdict},
+        event::{Done, PeerUse, Purpose, RunnerRequest, Verdict},
         id::{AccountKey, EntryKey, Ticket},
     },
     bilberryfront_wire::{
@@ -120,7 +120,7 @@
         if i == warm {
             started = Instant::now();
         }
-        let ask = Ask {
+        let ask = RunnerRequest {
             ticket: Ticket(i),
             entry: entries[i as usize % entries.len()],
             account: accounts[i as usize * 7 % accounts.len()],
@@ -129,7 +129,7 @@
             avoid: None,
             purpose: Purpose::First,
         };
-        core.step(now, Event::Ask(ask), &mut out);
+        core.step(now, Event::Request(ask), &mut out);
         if running.len() >= RUNNING || queued && i >= warm {
             let ticket = running.pop_front().expect("it is not empty");
             let done = Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, again: false };
--- a/crates/decide/examples/spread.rs
+++ b/crates/decide/examples/spread.rs
@@ -7,7 +7,7 @@
     bilberryfront_decide::{
         Action, Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
-        event::{Ask, Done, Purpose, Verdict},
+        event::{Done, Purpose, RunnerRequest, Verdict},
         id::{AccountKey, EntryKey, RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -199,7 +199,7 @@
             }
             Policy::Two | Policy::Apart | Policy::Core => {
                 let prefix = (self.policy != Policy::Two).then(|| self.salted(node, prefix));
-                let ask = Ask {
+                let ask = RunnerRequest {
                     ticket,
                     entry: self.entry,
                     account: self.account,
@@ -208,7 +208,7 @@
                     avoid: None,
                     purpose: Purpose::First,
                 };
-                self.event(step, node, Event::Ask(ask));
+                self.event(step, node, Event::Request(ask));
             }
         }
     }
--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -5,7 +5,7 @@
         action::{Action, Reason, Rejection},
         catalog::{Catalog, CatalogDoc, Entry},
         core::lane::Lane,
-        event::{Ask, Done, Event, Verdict},
+        event::{Done, Event, RunnerRequest, Verdict},
         fleet::Fleet,
         id::{AccountKey, EntryKey, Revision, RunnerKey, Ticket},
         limits::{Limits, Scope},
@@ -74,7 +74,7 @@
     /// Takes one event that happened at `now` and appends what is to be done to `out`. `now` never
     /// goes back.
     ///
-    /// Each [`Ask`] is answered once, by this step or a later one, with a grant or a refusal, unless
+    /// Each [`RunnerRequest`] is answered once, by this step or a later one, with a grant or a refusal, unless
     /// it is forgotten first. A refused request is over: its admission is given back.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
@@ -89,7 +89,7 @@
                 self.pump_of(now, runner, out);
             }
             Event::Silent { runner } => self.fleet.silent(now, runner),
-            Event::Ask(ask) => self.ask(now, &ask, out),
+            Event::Request(ask) => self.ask(now, &ask, out),
             Event::Forget(ticket) => self.forget(now, ticket, out),
             Event::Begun(ticket) => self.begun(ticket),
             Event::Done(done) => self.done(now, &done, out),
@@ -226,7 +226,7 @@
     }
 
     /// Whether the node's shares leave room for the request, or it has its admission already.
-    fn admits(&mut self, entry: &Entry, ask: &Ask) -> bool {
+    fn admits(&mut self, entry: &Entry, ask: &RunnerRequest) -> bool {
         if self.tickets.get(&ask.ticket).is_some_and(|h| h.admitted) {
             return true;
         }
--- a/crates/decide/src/core/admit.rs
+++ b/crates/decide/src/core/admit.rs
@@ -5,7 +5,7 @@
     crate::{
         action::{Action, Grant, Reason},
         catalog::Entry,
-        event::{Ask, Purpose},
+        event::{Purpose, RunnerRequest},
         fleet::Fleet,
         id::{EntryKey, PoolKey, RunnerKey, Ticket},
         limits::Scope,
@@ -29,7 +29,7 @@
 
 impl Core {
     /// Takes an ask: grants, queues or refuses it.
-    pub(super) fn ask(&mut self, now: Instant, ask: &Ask, out: &mut Vec<Action>) {
+    pub(super) fn ask(&mut self, now: Instant, ask: &RunnerRequest, out: &mut Vec<Action>) {
         let ticket = ask.ticket;
         let known = self.tickets.get(&ticket).copied();
         if known.is_some_and(|h| !matches!(h.stage, Stage::Between)) {
@@ -70,7 +70,7 @@
     }
 
     /// Queues a request, grants what may go, and refuses it at once if it would wait too long.
-    fn enqueue(&mut self, now: Instant, entry: &Entry, ask: &Ask, out: &mut Vec<Action>) {
+    fn enqueue(&mut self, now: Instant, entry: &Entry, ask: &RunnerRequest, out: &mut Vec<Action>) {
         let (key, ticket) = (ask.entry, ask.ticket);
         let most = longest(entry, ask.purpose);
         self.lanes[key].queue.push(Waiter { ask: ask.clone(), until: now + most });
@@ -182,7 +182,7 @@
         &mut self,
         now: Instant,
         entry: &Entry,
-        ask: &Ask,
+        ask: &RunnerRequest,
         full: &mut Vec<PoolKey>,
     ) -> Option<RunnerKey> {
         let pool = self.pool(entry, ask)?;
@@ -197,7 +197,7 @@
     }
 
     /// Whether shares, budget and pace let the request go now.
-    fn may_go(&mut self, entry: &Entry, ask: &Ask) -> bool {
+    fn may_go(&mut self, entry: &Entry, ask: &RunnerRequest) -> bool {
         let budget = self.lanes[ask.entry].budget;
         let paced = match ask.purpose {
             Purpose::Again => budget.ready(),
@@ -207,13 +207,19 @@
         paced && self.admits(entry, ask)
     }
 
-    fn find(&mut self, now: Instant, entry: &Entry, ask: &Ask) -> Option<RunnerKey> {
+    fn find(&mut self, now: Instant, entry: &Entry, ask: &RunnerRequest) -> Option<RunnerKey> {
         let pool = self.pool(entry, ask)?;
         let probe = ask.purpose == Purpose::First && ask.avoid.is_none();
         self.fleet.pick(now, pool, &Want { prefix: ask.prefix, avoid: ask.avoid, probe })
     }
 
-    fn grant(&mut self, now: Instant, ask: &Ask, runner: RunnerKey, out: &mut Vec<Action>) {
+    fn grant(
+        &mut self,
+        now: Instant,
+        ask: &RunnerRequest,
+        runner: RunnerKey,
+        out: &mut Vec<Action>,
+    ) {
         let held =
             self.tickets.get_mut(&ask.ticket).expect("a request has its ticket until it ends");
         held.stage = Stage::Running { runner, since: now };
@@ -232,7 +238,7 @@
         out.push(Action::Grant(Grant { ticket: ask.ticket, runner, url, version }));
     }
 
-    fn pool(&self, entry: &Entry, ask: &Ask) -> Option<PoolKey> {
+    fn pool(&self, entry: &Entry, ask: &RunnerRequest) -> Option<PoolKey> {
         pool(&self.fleet, entry, ask)
     }
 
@@ -241,7 +247,7 @@
     }
 
     /// Expected wait of a request that was just queued, if enough is known to say.
-    fn expected(&self, ask: &Ask) -> Option<Duration> {
+    fn expected(&self, ask: &RunnerRequest) -> Option<Duration> {
         let lane = &self.lanes[ask.entry];
         let limits = &self.limits;
         let running = |a| limits.running(Scope::account(ask.entry, a));
@@ -260,7 +266,7 @@
     }
 
     /// When one of the account's requests, wherever it runs, should have ended.
-    fn account_retry(&self, ask: &Ask) -> Duration {
+    fn account_retry(&self, ask: &RunnerRequest) -> Duration {
         let running = self.limits.known(Scope::account(ask.entry, ask.account));
         let drain = self.lanes.get(ask.entry).and_then(|l| l.drain(1, running));
         bounded(drain.unwrap_or(RETRY_UNKNOWN))
@@ -275,7 +281,7 @@
 }
 
 /// Runners of the version that must serve the request, if there are any.
-fn pool(fleet: &Fleet, entry: &Entry, ask: &Ask) -> Option<PoolKey> {
+fn pool(fleet: &Fleet, entry: &Entry, ask: &RunnerRequest) -> Option<PoolKey> {
     fleet.pool(&entry.name, ask.pin.as_ref().unwrap_or(&entry.version))
 }
 
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -39,7 +39,7 @@
         runner: RunnerKey,
     },
     /// A request wants a runner.
-    Ask(Ask),
+    Request(RunnerRequest),
     /// A request no longer wants a runner: its caller left while it waited, or between two runners.
     /// A granted request is not forgotten but done.
     Forget(Ticket),
@@ -56,7 +56,7 @@
 
 /// A request that wants a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct RunnerRequest {
     /// Name of this request for a runner; an [`Purpose::Again`] has the ticket of the [`Done`] that
     /// it follows.
     pub ticket: Ticket,
--- a/crates/decide/src/id.rs
+++ b/crates/decide/src/id.rs
@@ -18,7 +18,7 @@
     pub struct PoolKey;
 }
 
-/// Names one request for a runner, from [`crate::Event::Ask`] to its end. Chosen by the caller of
+/// Names one request for a runner, from [`crate::Event::Request`] to its end. Chosen by the caller of
 /// the core, unique within a node's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        event::{Ask, Purpose},
+        event::{Purpose, RunnerRequest},
         id::{AccountKey, Ticket},
     },
     std::{
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Waiter {
     /// The request.
-    pub(crate) ask: Ask,
+    pub(crate) ask: RunnerRequest,
     /// When it is refused.
     pub(crate) until: Instant,
 }
@@ -57,8 +57,8 @@
 
     /// Of those who go ahead of the firsts, the first of each version: a version with no room must
     /// not hold up the others.
-    pub(crate) fn heads(&self) -> Vec<Ask> {
-        let mut heads = Vec::<Ask>::new();
+    pub(crate) fn heads(&self) -> Vec<RunnerRequest> {
+        let mut heads = Vec::<RunnerRequest>::new();
         for ask in self.agains.iter().chain(&self.resumes).map(|w| &w.ask) {
             if !heads.iter().any(|h| (h.purpose, &h.pin) == (ask.purpose, &ask.pin)) {
                 heads.push(ask.clone());
--- a/crates/decide/tests/routing/affinity.rs
+++ b/crates/decide/tests/routing/affinity.rs
@@ -5,7 +5,7 @@
     bilberryfront_decide::{
         Core, Event, Location,
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
         id::Ticket,
     },
     bilberryfront_wire::{
@@ -180,8 +180,8 @@
 fn the_pinned_version_is_what_the_runner_reports() {
     let mut world = world(1, 2);
     world.load("r1", LoadReport { version: "v2".into(), ..report(0, 8) });
-    let ask = Ask { pin: Some("v2".into()), purpose: Purpose::Resume, ..world.draft(0) };
-    let grant = grants(&world.step(Event::Ask(ask))).pop().expect("a grant");
+    let ask = RunnerRequest { pin: Some("v2".into()), purpose: Purpose::Resume, ..world.draft(0) };
+    let grant = grants(&world.step(Event::Request(ask))).pop().expect("a grant");
     assert_eq!(world.name(grant.runner), "r1");
     world.list(spread(2));
     let other = world.granted(0);
--- a/crates/decide/tests/routing/budget.rs
+++ b/crates/decide/tests/routing/budget.rs
@@ -6,7 +6,7 @@
         Action, Event,
         action::{Grant, Reason},
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
     },
     std::collections::BTreeMap,
 };
@@ -91,13 +91,13 @@
     let (first, out) = world.ask(0);
     assert!(out.is_empty());
     assert!(world.step(done(running[0].ticket, Verdict::Broken, true)).is_empty());
-    let ask = Ask {
+    let ask = RunnerRequest {
         ticket: running[0].ticket,
         purpose: Purpose::Again,
         avoid: Some(running[0].runner),
         ..world.draft(0)
     };
-    let out = world.step(Event::Ask(ask));
+    let out = world.step(Event::Request(ask));
     assert_eq!(grants(&out)[0].ticket, running[0].ticket);
     let out = world.done(running[0].ticket, Verdict::Ok);
     assert_eq!(grants(&out)[0].ticket, first);
--- a/crates/decide/tests/routing/differential.rs
+++ b/crates/decide/tests/routing/differential.rs
@@ -6,7 +6,7 @@
         Action, Event,
         action::Grant,
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
         id::{RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -91,7 +91,7 @@
 /// What the model knows of a request.
 #[derive(Clone, Debug)]
 struct Request {
-    ask: Ask,
+    ask: RunnerRequest,
     account: usize,
     /// Asked for and not answered yet.
     waits: bool,
@@ -141,12 +141,12 @@
         match op {
             Op::First { account, prefix, pin } => {
                 let pin = pin.then(|| V2.into());
-                let ask = Ask { prefix, pin, ..self.world.draft(account % 3) };
+                let ask = RunnerRequest { prefix, pin, ..self.world.draft(account % 3) };
                 self.ask(ask, account % 3);
             }
             Op::Resume { account } => {
                 let draft = self.world.draft(account % 3);
-                let ask = Ask { purpose: Purpose::Resume, pin: Some(V1.into()), ..draft };
+                let ask = RunnerRequest { purpose: Purpose::Resume, pin: Some(V1.into()), ..draft };
                 self.ask(ask, account % 3);
             }
             Op::Again { nth, avoid } => self.again(nth, avoid),
@@ -179,7 +179,7 @@
         self.check(out);
     }
 
-    fn ask(&mut self, ask: Ask, account: usize) {
+    fn ask(&mut self, ask: RunnerRequest, account: usize) {
         self.requests.push(Request {
             ask: ask.clone(),
             account,
@@ -187,7 +187,7 @@
             granted: None,
             admitted: false,
         });
-        self.step(Event::Ask(ask));
+        self.step(Event::Request(ask));
     }
 
     fn again(&mut self, nth: usize, avoid: bool) {
@@ -202,7 +202,7 @@
         request.ask.purpose = Purpose::Again;
         request.ask.avoid = request.ask.avoid.filter(|_| avoid);
         let ask = request.ask.clone();
-        self.step(Event::Ask(ask));
+        self.step(Event::Request(ask));
     }
 
     fn done(&mut self, nth: usize, verdict: Verdict, again: bool) {
--- a/crates/decide/tests/routing/queue.rs
+++ b/crates/decide/tests/routing/queue.rs
@@ -6,7 +6,7 @@
         Event,
         action::Reason,
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
         id::Ticket,
     },
     std::time::Duration,
@@ -142,9 +142,9 @@
     let mut world = world(10, 5_000);
     let running = fill(&mut world);
     world.ask(0);
-    let ask = Ask { purpose: Purpose::Resume, pin: Some(V1.into()), ..world.draft(0) };
+    let ask = RunnerRequest { purpose: Purpose::Resume, pin: Some(V1.into()), ..world.draft(0) };
     let ticket = ask.ticket;
-    world.step(Event::Ask(ask));
+    world.step(Event::Request(ask));
     let out = world.done(running[0], Verdict::Ok);
     assert_eq!(grants(&out)[0].ticket, ticket);
 }
--- a/crates/decide/tests/routing/runners.rs
+++ b/crates/decide/tests/routing/runners.rs
@@ -6,7 +6,7 @@
         Event,
         action::{Grant, Reason},
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
     },
     bilberryfront_wire::{
         instance::{InstanceList, InstanceState},
@@ -203,7 +203,7 @@
 #[test]
 fn a_version_that_no_runner_has_is_refused() {
     let mut world = world(1);
-    let ask = Ask { pin: Some("v9".into()), purpose: Purpose::Resume, ..world.draft(0) };
-    assert_eq!(reasons(&world.step(Event::Ask(ask))), [Reason::NoRunner]);
+    let ask = RunnerRequest { pin: Some("v9".into()), purpose: Purpose::Resume, ..world.draft(0) };
+    assert_eq!(reasons(&world.step(Event::Request(ask))), [Reason::NoRunner]);
     assert!(world.core.runners().all(|(_, r)| r.entry == ENTRY));
 }
--- a/crates/decide/tests/routing/world.rs
+++ b/crates/decide/tests/routing/world.rs
@@ -6,7 +6,7 @@
         Action, Core, Event, Location,
         action::{Grant, Reason, Rejection},
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
-        event::{Ask, Done, PeerUse, Purpose, Verdict},
+        event::{Done, PeerUse, Purpose, RunnerRequest, Verdict},
         id::{AccountKey, EntryKey, RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -92,9 +92,9 @@
     }
 
     /// An ask of the account's, not yet sent to the core.
-    pub(crate) fn draft(&mut self, account: usize) -> Ask {
+    pub(crate) fn draft(&mut self, account: usize) -> RunnerRequest {
         self.ticket += 1;
-        Ask {
+        RunnerRequest {
             ticket: Ticket(self.ticket),
             entry: self.entry,
             account: self.accounts[account],
@@ -107,7 +107,7 @@
 
     pub(crate) fn ask(&mut self, account: usize) -> (Ticket, Vec<Action>) {
         let ask = self.draft(account);
-        (ask.ticket, self.step(Event::Ask(ask)))
+        (ask.ticket, self.step(Event::Request(ask)))
     }
 
     /// Asks and expects a grant at once.
@@ -120,8 +120,8 @@
 
     /// Asks with a prefix and gives the name of the runner that it was sent to.
     pub(crate) fn sent_to(&mut self, prefix: u64) -> (Ticket, String) {
-        let ask = Ask { prefix: Some(prefix), ..self.draft(0) };
-        let out = self.step(Event::Ask(ask));
+        let ask = RunnerRequest { prefix: Some(prefix), ..self.draft(0) };
+        let out = self.step(Event::Request(ask));
         let grant = grants(&out).pop().expect("a grant");
         (grant.ticket, self.name(grant.runner))
     }
@@ -133,14 +133,14 @@
     /// The runner failed the request, which asks for another.
     pub(crate) fn again(&mut self, grant: &Grant) -> Vec<Action> {
         let mut out = self.step(done(grant.ticket, Verdict::Broken, true));
-        let ask = Ask {
+        let ask = RunnerRequest {
             ticket: grant.ticket,
             pin: Some(grant.version.clone()),
             avoid: Some(grant.runner),
             purpose: Purpose::Again,
             ..self.draft(0)
         };
-        out.extend(self.step(Event::Ask(ask)));
+        out.extend(self.step(Event::Request(ask)));
         out
     }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -13,7 +13,7 @@
     bilberryfront_decide::{
         Action, Core, Event,
         action::{Grant, Reason, Rejection},
-        event::{Ask, Done},
+        event::{Done, RunnerRequest},
         id::Ticket,
     },
     moves::Moves,
@@ -41,7 +41,7 @@
 /// What the control thread is sent.
 pub enum Message {
     /// A request wants a runner, and waits for the answer.
-    Ask(Ask, oneshot::Sender<Result<Grant>>),
+    Ask(RunnerRequest, oneshot::Sender<Result<Grant>>),
     /// Anything else that happened.
     Event(Event),
 }
@@ -112,7 +112,7 @@
     }
 
     /// Waits for a runner. When the returned future is dropped early, the core forgets the request.
-    pub async fn ask(&self, ask: Ask) -> Result<Grant> {
+    pub async fn ask(&self, ask: RunnerRequest) -> Result<Grant> {
         let ticket = ask.ticket;
         let (answer, wait) = oneshot::channel();
         let gone = Rejection { ticket, reason: Reason::NoRunner, retry: None };
@@ -174,7 +174,7 @@
             let event = match message {
                 Message::Ask(ask, answer) => {
                     asks.insert(ask.ticket, answer);
-                    Event::Ask(ask)
+                    Event::Request(ask)
                 }
                 Message::Event(event) => event,
             };
--- a/src/traffic/services/job.rs
+++ b/src/traffic/services/job.rs
@@ -14,7 +14,7 @@
     },
     bilberryfront_decide::{
         catalog::{Catalog, Kind, Limits},
-        event::{Ask, Purpose},
+        event::{Purpose, RunnerRequest},
         id::{AccountKey, EntryKey, RunnerKey, Ticket},
     },
     bytes::Bytes,
@@ -97,9 +97,9 @@
         purpose: Purpose,
         avoid: Option<RunnerKey>,
         pin: Option<CompactString>,
-    ) -> Ask {
+    ) -> RunnerRequest {
         let (entry, account) = (self.entry, self.account);
-        Ask { ticket, entry, account, prefix: None, pin, avoid, purpose }
+        RunnerRequest { ticket, entry, account, prefix: None, pin, avoid, purpose }
     }
 
     /// Chooses the version that the call goes to.
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -18,7 +18,7 @@
     },
     bilberryfront_decide::{
         action::{Grant, Reason, Rejection},
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
         generation::{Generation, Phase, Take},
         id::{RunnerKey, Ticket},
     },
@@ -123,7 +123,7 @@
     }
 
     async fn ask(&mut self) -> Option<Piece> {
-        let ask = Ask {
+        let ask = RunnerRequest {
             ticket: self.ticket,
             entry: self.job.entry,
             account: self.job.account,
