--- a/crates/decide/src/core/admit.rs
+++ b/crates/decide/src/core/admit.rs
@@ -82,7 +82,7 @@
         if let Some(wait) = wait.filter(|w| *w > most) {
             self.lanes[key].queue.remove(ticket);
             let (reason, retry) = match ask.purpose {
-                Purpose::Again => (Reason::NoBudget, wait),
+                Purpose::Retry => (Reason::NoBudget, wait),
                 Purpose::Resume | Purpose::First => (Reason::Late, wait - most),
             };
             return self.refuse(ticket, reason, Some(bounded(retry)), out);
@@ -123,7 +123,7 @@
             let pool = catalog.entries.get(ask.entry).and_then(|e| self.pool(e, &ask));
             let (reason, retry) = match (pool, ask.purpose) {
                 (None, _) => (Reason::NoRunner, NO_RUNNER_RETRY),
-                (_, Purpose::Again) if !self.lanes[ask.entry].budget.funded() => {
+                (_, Purpose::Retry) if !self.lanes[ask.entry].budget.funded() => {
                     (Reason::NoBudget, self.lanes[ask.entry].budget.wait(0))
                 }
                 _ => (Reason::Late, self.drained(ask.entry, 1)),
@@ -200,7 +200,7 @@
     fn may_go(&mut self, entry: &Entry, ask: &RunnerRequest) -> bool {
         let budget = self.lanes[ask.entry].budget;
         let paced = match ask.purpose {
-            Purpose::Again => budget.ready(),
+            Purpose::Retry => budget.ready(),
             Purpose::Resume => budget.paced(),
             Purpose::First => true,
         };
@@ -228,7 +228,7 @@
         }
         let budget = &mut self.lanes[ask.entry].budget;
         match ask.purpose {
-            Purpose::Again => budget.spend(),
+            Purpose::Retry => budget.spend(),
             Purpose::Resume => budget.step(),
             Purpose::First => {}
         }
@@ -252,7 +252,7 @@
         let limits = &self.limits;
         let running = |a| limits.running(Scope::account(ask.entry, a));
         let ahead = match ask.purpose {
-            Purpose::Again => return Some(lane.budget.wait(lane.queue.agains.len() - 1)),
+            Purpose::Retry => return Some(lane.budget.wait(lane.queue.agains.len() - 1)),
             Purpose::Resume => lane.queue.agains.len() + lane.queue.resumes.len() - 1,
             Purpose::First => lane.queue.ahead(ask.account, running),
         };
@@ -289,7 +289,7 @@
 fn longest(entry: &Entry, purpose: Purpose) -> Duration {
     let most = Duration::from_millis(entry.limits.wait_ms.into());
     match purpose {
-        Purpose::Again => most.max(AGAIN_LEAST),
+        Purpose::Retry => most.max(AGAIN_LEAST),
         Purpose::First | Purpose::Resume => most,
     }
 }
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -57,7 +57,7 @@
 /// A request that wants a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerRequest {
-    /// Name of this request for a runner; an [`Purpose::Again`] has the ticket of the [`Done`] that
+    /// Name of this request for a runner; an [`Purpose::Retry`] has the ticket of the [`Done`] that
     /// it follows.
     pub ticket: Ticket,
     /// Entry that must serve it.
@@ -81,7 +81,7 @@
     First,
     /// Another runner after one failed: already admitted, draws on the retry budget, and goes
     /// before all first requests.
-    Again,
+    Retry,
     /// The caller's own resume after a cut: admitted again, but no first token is to be made.
     Resume,
 }
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -46,7 +46,7 @@
     /// Puts a request at the end of its lane.
     pub(crate) fn push(&mut self, waiter: Waiter) {
         match waiter.ask.purpose {
-            Purpose::Again => self.agains.push_back(waiter),
+            Purpose::Retry => self.agains.push_back(waiter),
             Purpose::Resume => self.resumes.push_back(waiter),
             Purpose::First => {
                 self.len += 1;
--- a/crates/decide/tests/routing/budget.rs
+++ b/crates/decide/tests/routing/budget.rs
@@ -93,7 +93,7 @@
     assert!(world.step(done(running[0].ticket, Verdict::Broken, true)).is_empty());
     let ask = RunnerRequest {
         ticket: running[0].ticket,
-        purpose: Purpose::Again,
+        purpose: Purpose::Retry,
         avoid: Some(running[0].runner),
         ..world.draft(0)
     };
--- a/crates/decide/tests/routing/differential.rs
+++ b/crates/decide/tests/routing/differential.rs
@@ -199,7 +199,7 @@
         let len = between.len();
         let request = &mut between[nth % len];
         request.waits = true;
-        request.ask.purpose = Purpose::Again;
+        request.ask.purpose = Purpose::Retry;
         request.ask.avoid = request.ask.avoid.filter(|_| avoid);
         let ask = request.ask.clone();
         self.step(Event::Request(ask));
--- a/crates/decide/tests/routing/world.rs
+++ b/crates/decide/tests/routing/world.rs
@@ -137,7 +137,7 @@
             ticket: grant.ticket,
             pin: Some(grant.version.clone()),
             avoid: Some(grant.runner),
-            purpose: Purpose::Again,
+            purpose: Purpose::Retry,
             ..self.draft(0)
         };
         out.extend(self.step(Event::Request(ask)));
--- a/src/traffic/services/repeat.rs
+++ b/src/traffic/services/repeat.rs
@@ -63,7 +63,7 @@
         };
         lease.again = tried < TRIES;
         avoid = Some(lease.grant.runner);
-        purpose = Purpose::Again;
+        purpose = Purpose::Retry;
     }
     let problem = not_run(Kind::NoRunner, format!("{TRIES} runners failed to answer"));
     Err(unknown(problem::again(problem, RETRY_AFTER)))
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -136,10 +136,10 @@
             Ok(grant) => grant,
             Err(refuse) => return self.refused(&refuse),
         };
-        if self.purpose == Purpose::Again {
+        if self.purpose == Purpose::Retry {
             self.control.metrics().add(Counter::Resumes, 1);
         }
-        self.purpose = Purpose::Again;
+        self.purpose = Purpose::Retry;
         let lease = Lease::new(self.control.clone(), grant, self.chooser.trial());
         let generate = self.generate(&lease.grant);
         let wait = millis(self.job.limits.first_ms);
@@ -282,7 +282,7 @@
     fn refused(&mut self, refuse: &Rejection) -> Option<Piece> {
         let missing = refuse.reason == Reason::NoRunner;
         let unseen = self.generation.restart() || self.generation.pin().is_none();
-        if missing && unseen && (self.purpose == Purpose::Again || self.chooser.fall_back()) {
+        if missing && unseen && (self.purpose == Purpose::Retry || self.chooser.fall_back()) {
             self.start_over();
             return None;
         }
