--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -132,7 +132,8 @@
         core.step(now, Event::Request(ask), &mut out);
         if running.len() >= RUNNING || queued && i >= warm {
             let ticket = running.pop_front().expect("it is not empty");
-            let done = Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, again: false };
+            let done =
+                Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, will_retry: false };
             core.step(now, Event::Done(done), &mut out);
         }
         for action in out.drain(..) {
--- a/crates/decide/examples/spread.rs
+++ b/crates/decide/examples/spread.rs
@@ -266,7 +266,8 @@
             ended.extend(engine.jobs.extract_if(.., |j| j.decode <= 0.0));
         }
         for Job { node, ticket, .. } in ended {
-            let done = Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, again: false };
+            let done =
+                Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, will_retry: false };
             self.event(step, node, Event::Done(done));
         }
     }
--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -183,7 +183,7 @@
         let Stage::Running { runner, since } = held.stage else { return };
         let entry = held.entry;
         self.fleet.done(now, runner, done);
-        match done.again {
+        match done.will_retry {
             true => held.stage = Stage::Between,
             false => self.close(done.ticket),
         }
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -98,13 +98,13 @@
     /// Tokens taken from this runner.
     pub tokens: u32,
     /// Whether another runner will be asked for; the request then keeps its admission.
-    pub again: bool,
+    pub will_retry: bool,
 }
 
 impl Done {
     /// The end of a request whose caller left before anything came back.
     pub fn cancelled(ticket: Ticket) -> Done {
-        Done { ticket, verdict: Verdict::Cancelled, first: None, tokens: 0, again: false }
+        Done { ticket, verdict: Verdict::Cancelled, first: None, tokens: 0, will_retry: false }
     }
 }
 
--- a/crates/decide/tests/routing/world.rs
+++ b/crates/decide/tests/routing/world.rs
@@ -156,7 +156,7 @@
 }
 
 pub(crate) fn done(ticket: Ticket, verdict: Verdict, again: bool) -> Event {
-    Event::Done(Done { ticket, verdict, first: None, tokens: 0, again })
+    Event::Done(Done { ticket, verdict, first: None, tokens: 0, will_retry: again })
 }
 
 pub(crate) fn grants(out: &[Action]) -> Vec<Grant> {
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -99,7 +99,7 @@
             verdict: self.verdict,
             first: self.first,
             tokens: self.tokens,
-            again: self.again,
+            will_retry: self.again,
         });
     }
 }
