--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -88,10 +88,10 @@
                 self.fleet.report(runner, &report);
                 self.pump_of(now, runner, out);
             }
-            Event::Silent { runner } => self.fleet.silent(now, runner),
+            Event::LoadMissing { runner } => self.fleet.silent(now, runner),
             Event::Request(ask) => self.ask(now, &ask, out),
-            Event::Forget(ticket) => self.forget(now, ticket, out),
-            Event::Begun(ticket) => self.begun(ticket),
+            Event::Cancel(ticket) => self.forget(now, ticket, out),
+            Event::Started(ticket) => self.begun(ticket),
             Event::Done(done) => self.done(now, &done, out),
             Event::Peers(peers) => {
                 self.limits.peers(&peers);
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -34,7 +34,7 @@
         report: LoadReport,
     },
     /// A runner's load report could not be had.
-    Silent {
+    LoadMissing {
         /// The runner that was asked.
         runner: RunnerKey,
     },
@@ -42,10 +42,10 @@
     Request(RunnerRequest),
     /// A request no longer wants a runner: its caller left while it waited, or between two runners.
     /// A granted request is not forgotten but done.
-    Forget(Ticket),
+    Cancel(Ticket),
     /// The first token, or the answer's head, of a granted request came. It ends the suspicion of
     /// the runner at once, where the request may go on for minutes.
-    Begun(Ticket),
+    Started(Ticket),
     /// A granted request ended at its runner.
     Done(Done),
     /// How many other nodes take traffic, and what they use of the limits.
--- a/crates/decide/tests/routing/budget.rs
+++ b/crates/decide/tests/routing/budget.rs
@@ -111,7 +111,7 @@
     let grant = world.granted(0);
     world.step(done(grant.ticket, Verdict::Broken, true));
     assert_eq!(reasons(&world.ask(0).1), [Reason::EntryLimit]);
-    world.step(Event::Forget(grant.ticket));
+    world.step(Event::Cancel(grant.ticket));
     world.granted(0);
 }
 
--- a/crates/decide/tests/routing/differential.rs
+++ b/crates/decide/tests/routing/differential.rs
@@ -160,7 +160,7 @@
             Op::Silent { runner } => {
                 let Some(known) = self.known(RUNNERS[runner % 5]) else { return };
                 let runner = known.key;
-                self.step(Event::Silent { runner });
+                self.step(Event::LoadMissing { runner });
             }
             Op::List { gone, leaving, stale } => self.list(gone, leaving, stale),
             Op::Peers { nodes, account, running } => {
@@ -231,7 +231,7 @@
         }
         let ticket = idle[nth % idle.len()];
         self.requests.retain(|r| r.ask.ticket != ticket);
-        self.step(Event::Forget(ticket));
+        self.step(Event::Cancel(ticket));
     }
 
     fn load(&mut self, name: &str, mut report: LoadReport, cached: u64) {
--- a/crates/decide/tests/routing/queue.rs
+++ b/crates/decide/tests/routing/queue.rs
@@ -132,7 +132,7 @@
     let mut world = world(10, 1_000);
     let running = fill(&mut world);
     let (ticket, _) = world.ask(0);
-    assert!(world.step(Event::Forget(ticket)).is_empty());
+    assert!(world.step(Event::Cancel(ticket)).is_empty());
     assert!(world.done(running[0], Verdict::Ok).is_empty());
     assert!(world.wait(2_000).is_empty());
 }
--- a/crates/decide/tests/routing/runners.rs
+++ b/crates/decide/tests/routing/runners.rs
@@ -67,7 +67,7 @@
     world.wait(650);
     let probe = world.granted(0);
     assert_eq!(probe.runner, first.runner);
-    world.step(Event::Begun(probe.ticket));
+    world.step(Event::Started(probe.ticket));
     let sent = (0..6).map(|_| world.granted(0).runner).collect::<Vec<_>>();
     assert!(sent.contains(&probe.runner), "its load goes up with the other's");
 }
@@ -113,9 +113,9 @@
 fn silent_load_reports_make_a_suspect_and_a_report_clears_it() {
     let mut world = world(2);
     let runner = world.runner("r0");
-    world.step(Event::Silent { runner });
+    world.step(Event::LoadMissing { runner });
     assert!(got(&mut world, "r0", 20) > 0, "one missed report is no evidence");
-    world.step(Event::Silent { runner });
+    world.step(Event::LoadMissing { runner });
     world.wait(5_000);
     assert_eq!(got(&mut world, "r0", 20), 0, "no request is risked while it is silent");
     world.load("r0", report(0, 8));
--- a/crates/scenarios/src/node.rs
+++ b/crates/scenarios/src/node.rs
@@ -169,7 +169,7 @@
         for (runner, instance) in &control.view().runners {
             control.tell(match wire.load(&instance.url) {
                 Some(report) => Event::Load { runner: *runner, report },
-                None => Event::Silent { runner: *runner },
+                None => Event::LoadMissing { runner: *runner },
             });
         }
         sleep(LOAD_EVERY).await;
--- a/src/control.rs
+++ b/src/control.rs
@@ -140,7 +140,7 @@
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
         if self.armed {
-            self.control.tell(Event::Forget(self.ticket));
+            self.control.tell(Event::Cancel(self.ticket));
         }
     }
 }
@@ -178,7 +178,7 @@
                 }
                 Message::Event(event) => event,
             };
-            if let Event::Forget(ticket) = event {
+            if let Event::Cancel(ticket) = event {
                 asks.remove(&ticket);
             }
             changed |= matches!(event, Event::Catalog { .. } | Event::Instances(_));
--- a/src/control/pollers.rs
+++ b/src/control/pollers.rs
@@ -101,7 +101,7 @@
 async fn report(control: &Control, runner: RunnerKey, polled: &Polled) {
     let event = match polled.service.get::<LoadReport>("/load").await {
         Ok(report) => Event::Load { runner, report },
-        Err(_) => Event::Silent { runner },
+        Err(_) => Event::LoadMissing { runner },
     };
     control.tell(event);
 }
