--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -51,7 +51,7 @@
     /// The entry's limit is reached and its queue is full.
     EntryLimit,
     /// It would have waited too long.
-    Late,
+    WaitTooLong,
     /// No live runner of the entry, or of the pinned version.
     NoRunner,
     /// The retry budget is spent.
--- a/crates/decide/src/core/admit.rs
+++ b/crates/decide/src/core/admit.rs
@@ -83,7 +83,7 @@
             self.lanes[key].queue.remove(ticket);
             let (reason, retry) = match ask.purpose {
                 Purpose::Retry => (Reason::NoBudget, wait),
-                Purpose::Resume | Purpose::First => (Reason::Late, wait - most),
+                Purpose::Resume | Purpose::First => (Reason::WaitTooLong, wait - most),
             };
             return self.refuse(ticket, reason, Some(bounded(retry)), out);
         }
@@ -126,7 +126,7 @@
                 (_, Purpose::Retry) if !self.lanes[ask.entry].budget.funded() => {
                     (Reason::NoBudget, self.lanes[ask.entry].budget.wait(0))
                 }
-                _ => (Reason::Late, self.drained(ask.entry, 1)),
+                _ => (Reason::WaitTooLong, self.drained(ask.entry, 1)),
             };
             self.refuse(ask.ticket, reason, Some(bounded(retry)), out);
         }
--- a/crates/decide/tests/routing/queue.rs
+++ b/crates/decide/tests/routing/queue.rs
@@ -43,7 +43,7 @@
     world.ask(0);
     assert!(world.wait(950).is_empty());
     let out = world.wait(50);
-    assert_eq!(reasons(&out), [Reason::Late]);
+    assert_eq!(reasons(&out), [Reason::WaitTooLong]);
     assert!(refusals(&out)[0].retry.is_some());
 }
 
@@ -60,7 +60,7 @@
     assert!(world.ask(0).1.is_empty());
     assert!(world.ask(0).1.is_empty());
     let (_, out) = world.ask(0);
-    assert_eq!(reasons(&out), [Reason::Late]);
+    assert_eq!(reasons(&out), [Reason::WaitTooLong]);
     assert_eq!(refusals(&out)[0].retry, Some(Duration::from_secs(1)));
 }
 
--- a/src/traffic/problem.rs
+++ b/src/traffic/problem.rs
@@ -160,7 +160,7 @@
         Reason::NoAccess => (Kind::Forbidden, "ask the entry's owner for access"),
         Reason::AccountLimit => (Kind::AccountLimit, "wait until some of your requests have ended"),
         Reason::EntryLimit => (Kind::Overloaded, "the entry's limit and its queue are full"),
-        Reason::Late => (Kind::Overloaded, "the wait would be longer than the entry allows"),
+        Reason::WaitTooLong => (Kind::Overloaded, "the wait would be longer than the entry allows"),
         Reason::NoRunner => (Kind::NoRunner, "no live runner of the entry's version"),
         Reason::NoBudget => (Kind::NoRunner, "too many requests are being tried again"),
     };
