--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -22,9 +22,9 @@
 
 /// Most bytes of one token's text. A longer one is a broken runner: without the bound its stream
 /// could fill the node's memory.
-pub const TOKEN_BYTES: usize = 4_096;
+pub const MAX_TOKEN_BYTES: usize = 4_096;
 /// Most runners tried for one generation, so that a prompt that kills runners can't go through all.
-pub const ATTEMPTS: Attempt = 8;
+pub const MAX_ATTEMPTS: Attempt = 8;
 
 static CHART: LazyLock<Chart<Phase, Signal>> = LazyLock::new(|| {
     Chart::parse(include_str!("../../../charts/generation.json")).expect("checked by a test")
@@ -70,7 +70,7 @@
 
 /// What to do with a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Take {
+pub enum TokenAction {
     /// It is the next one: deliver it.
     Deliver,
     /// Of an older attempt, or delivered before: drop it.
@@ -161,17 +161,17 @@
     /// was used again; the caller would see tokens twice or of another generation. The attempt
     /// number and the index together name each token of the answer once, so dropping all others is
     /// enough.
-    pub fn token(&mut self, attempt: Attempt, token: &Token) -> Take {
+    pub fn token(&mut self, attempt: Attempt, token: &Token) -> TokenAction {
         if attempt != self.attempt || token.index < self.next {
-            return Take::Drop;
+            return TokenAction::Drop;
         }
         let fits = token.index == self.next && self.next < self.limit;
-        if !fits || token.text.len() > TOKEN_BYTES {
-            return Take::Garbled;
+        if !fits || token.text.len() > MAX_TOKEN_BYTES {
+            return TokenAction::Garbled;
         }
         self.next += 1;
         self.digest.push(&token.text);
-        Take::Deliver
+        TokenAction::Deliver
     }
 
     /// Whether the runner's own count at its finish is what was delivered. A smaller answer than the
@@ -197,7 +197,7 @@
 
     /// Whether another runner may be tried.
     pub fn may_retry(&self) -> bool {
-        self.tried < ATTEMPTS
+        self.tried < MAX_ATTEMPTS
     }
 
     /// Starts from nothing with any version, which is possible while the caller has seen no token.
--- a/crates/decide/src/generation/event_id.rs
+++ b/crates/decide/src/generation/event_id.rs
@@ -14,7 +14,7 @@
 pub type Result<T> = std::result::Result<T, BadEventId>;
 
 /// Most bytes of an event id that is looked at.
-pub const EVENT_ID_BYTES: usize = 256;
+pub const MAX_EVENT_ID_BYTES: usize = 256;
 
 /// Not an event id of ours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     type Err = BadEventId;
 
     fn from_str(text: &str) -> Result<EventId> {
-        if text.len() > EVENT_ID_BYTES {
+        if text.len() > MAX_EVENT_ID_BYTES {
             return Err(BadEventId);
         }
         let mut parts = text.splitn(5, '.');
--- a/crates/decide/tests/generation.rs
+++ b/crates/decide/tests/generation.rs
@@ -2,8 +2,8 @@
 
 use {
     bilberryfront_decide::generation::{
-        Generation, Phase, TOKEN_BYTES, Take,
-        event_id::{Digest, EVENT_ID_BYTES, EventId},
+        Generation, MAX_TOKEN_BYTES, Phase, TokenAction,
+        event_id::{Digest, EventId, MAX_EVENT_ID_BYTES},
     },
     bilberryfront_wire::{
         completion::FinishReason,
@@ -53,16 +53,16 @@
 }
 
 impl Naive {
-    fn take(&mut self, current: u32, attempt: u32, token: &Token) -> Take {
+    fn take(&mut self, current: u32, attempt: u32, token: &Token) -> TokenAction {
         let next = self.got.len() as u32;
         if attempt != current || self.got.contains(&token.index) {
-            return Take::Drop;
+            return TokenAction::Drop;
         }
-        if token.index != next || next >= LIMIT || token.text.len() > TOKEN_BYTES {
-            return Take::Garbled;
+        if token.index != next || next >= LIMIT || token.text.len() > MAX_TOKEN_BYTES {
+            return TokenAction::Garbled;
         }
         self.got.push(token.index);
-        Take::Deliver
+        TokenAction::Deliver
     }
 }
 
@@ -82,7 +82,7 @@
         Act::Skip => Some((current, token(current, next + 1))),
         Act::Old(index) => Some((current - 1, token(current - 1, index))),
         Act::Huge => {
-            let text = CompactString::from("x".repeat(TOKEN_BYTES + 1));
+            let text = CompactString::from("x".repeat(MAX_TOKEN_BYTES + 1));
             Some((current, Token { index: next, text }))
         }
         Act::Short | Act::Die => None,
@@ -108,7 +108,7 @@
                 Some((attempt, token)) => {
                     let take = generation.token(attempt, &token);
                     assert_eq!(take, naive.take(current, attempt, &token), "{act:?}");
-                    take == Take::Garbled
+                    take == TokenAction::Garbled
                 }
             };
             if lost {
@@ -134,7 +134,7 @@
         let mut text = String::new();
         for index in 0..cut {
             let token = token(attempt, index);
-            assert_eq!(first.token(attempt, &token), Take::Deliver);
+            assert_eq!(first.token(attempt, &token), TokenAction::Deliver);
             text.push_str(&token.text);
         }
         let id: EventId = first.event_id(&"abc".into()).to_string().parse().unwrap();
@@ -142,8 +142,8 @@
         assert_eq!((second.next(), second.pin().unwrap().as_str()), (cut, "v2.1"));
         let again = second.granted(&"v2.1".into());
         assert!(again > attempt);
-        assert_eq!(second.token(attempt, &token(attempt, cut)), Take::Drop);
-        assert_eq!(second.token(again, &token(again, cut)), Take::Deliver);
+        assert_eq!(second.token(attempt, &token(attempt, cut)), TokenAction::Drop);
+        assert_eq!(second.token(again, &token(again, cut)), TokenAction::Deliver);
 
         let missing = &text[..text.len() - 1];
         assert!(Generation::resume(seed(), LIMIT, &id, missing).is_none());
@@ -200,7 +200,7 @@
     }
     let property = property as fn(String) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(64, SEED)).tests(CASES).quickcheck(property);
-    let huge = format!("a.1.1.0000000000000000.{}", "v".repeat(EVENT_ID_BYTES));
+    let huge = format!("a.1.1.0000000000000000.{}", "v".repeat(MAX_EVENT_ID_BYTES));
     assert!(huge.parse::<EventId>().is_err());
     for bad in ["", "....", "a.1.1.0", "a.-1.1.0.v", "a.1.99999999999.0.v", "a.1.1.xyz.v"] {
         assert!(bad.parse::<EventId>().is_err(), "{bad}");
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -19,7 +19,7 @@
     bilberryfront_decide::{
         action::{Grant, Reason, Rejection},
         event::{Purpose, RunnerRequest, Verdict},
-        generation::{Generation, Phase, Take},
+        generation::{Generation, Phase, TokenAction},
         id::{RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -177,9 +177,9 @@
             match event {
                 Ok(RunnerEvent::Token(attempt, token)) => {
                     match self.generation.token(attempt, &token) {
-                        Take::Deliver => batch.push(self.deliver(&mut open, token)),
-                        Take::Drop => self.control.metrics().add(Counter::DroppedTokens, 1),
-                        Take::Garbled => return self.stop(open, batch, Verdict::Garbled),
+                        TokenAction::Deliver => batch.push(self.deliver(&mut open, token)),
+                        TokenAction::Drop => self.control.metrics().add(Counter::DroppedTokens, 1),
+                        TokenAction::Garbled => return self.stop(open, batch, Verdict::Garbled),
                     }
                 }
                 Ok(RunnerEvent::Finish(finish)) => {
