--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -147,7 +147,7 @@
 
     /// Starts an attempt at a runner of `version`, and pins the generation to it: tokens of two
     /// versions in one answer would be two answers mixed.
-    pub fn granted(&mut self, version: &CompactString) -> Attempt {
+    pub fn start_attempt(&mut self, version: &CompactString) -> Attempt {
         self.step(Signal::Granted);
         self.attempt += 1;
         self.tried += 1;
@@ -161,7 +161,7 @@
     /// was used again; the caller would see tokens twice or of another generation. The attempt
     /// number and the index together name each token of the answer once, so dropping all others is
     /// enough.
-    pub fn token(&mut self, attempt: Attempt, token: &Token) -> TokenAction {
+    pub fn accept(&mut self, attempt: Attempt, token: &Token) -> TokenAction {
         if attempt != self.attempt || token.index < self.next {
             return TokenAction::Drop;
         }
@@ -186,7 +186,7 @@
 
     /// The present runner is lost; another has to be asked, unless the answer is whole already: then
     /// only the runner's finish was lost, and this says what it was.
-    pub fn lost(&mut self) -> Option<FinishReason> {
+    pub fn runner_lost(&mut self) -> Option<FinishReason> {
         self.step(Signal::Lost);
         if self.next < self.limit {
             return None;
@@ -202,7 +202,7 @@
 
     /// Starts from nothing with any version, which is possible while the caller has seen no token.
     /// Says whether it was.
-    pub fn restart(&mut self) -> bool {
+    pub fn try_restart(&mut self) -> bool {
         let unseen = !self.streamed || self.next == 0;
         if unseen && self.pin.is_some() {
             self.pin = None;
--- a/crates/decide/tests/generation.rs
+++ b/crates/decide/tests/generation.rs
@@ -96,7 +96,7 @@
     fn property(acts: Vec<Act>) -> bool {
         let mut generation = Generation::new(seed(), LIMIT, true);
         let mut naive = Naive::default();
-        let mut current = generation.granted(&"v1".into());
+        let mut current = generation.start_attempt(&"v1".into());
         for act in acts {
             let next = generation.next();
             let lost = match written(act, current, next) {
@@ -106,16 +106,16 @@
                     true
                 }
                 Some((attempt, token)) => {
-                    let take = generation.token(attempt, &token);
+                    let take = generation.accept(attempt, &token);
                     assert_eq!(take, naive.take(current, attempt, &token), "{act:?}");
                     take == TokenAction::Garbled
                 }
             };
             if lost {
-                if generation.lost().is_some() {
+                if generation.runner_lost().is_some() {
                     break;
                 }
-                current = generation.granted(&"v1".into());
+                current = generation.start_attempt(&"v1".into());
             }
         }
         naive.got == (0..generation.next()).collect::<Vec<_>>()
@@ -130,20 +130,20 @@
 fn resumes_after_any_event() {
     for cut in 1..LIMIT {
         let mut first = Generation::new(seed(), LIMIT, true);
-        let attempt = first.granted(&"v2.1".into());
+        let attempt = first.start_attempt(&"v2.1".into());
         let mut text = String::new();
         for index in 0..cut {
             let token = token(attempt, index);
-            assert_eq!(first.token(attempt, &token), TokenAction::Deliver);
+            assert_eq!(first.accept(attempt, &token), TokenAction::Deliver);
             text.push_str(&token.text);
         }
         let id: EventId = first.event_id(&"abc".into()).to_string().parse().unwrap();
         let mut second = Generation::resume(seed(), LIMIT, &id, &text).expect("it fits");
         assert_eq!((second.next(), second.pin().unwrap().as_str()), (cut, "v2.1"));
-        let again = second.granted(&"v2.1".into());
+        let again = second.start_attempt(&"v2.1".into());
         assert!(again > attempt);
-        assert_eq!(second.token(attempt, &token(attempt, cut)), TokenAction::Drop);
-        assert_eq!(second.token(again, &token(again, cut)), TokenAction::Deliver);
+        assert_eq!(second.accept(attempt, &token(attempt, cut)), TokenAction::Drop);
+        assert_eq!(second.accept(again, &token(again, cut)), TokenAction::Deliver);
 
         let missing = &text[..text.len() - 1];
         assert!(Generation::resume(seed(), LIMIT, &id, missing).is_none());
@@ -159,11 +159,11 @@
 #[test]
 fn death_after_the_last_token() {
     let mut generation = Generation::new(seed(), 2, true);
-    let attempt = generation.granted(&"v1".into());
+    let attempt = generation.start_attempt(&"v1".into());
     for index in 0..2 {
-        generation.token(attempt, &token(attempt, index));
+        generation.accept(attempt, &token(attempt, index));
     }
-    assert_eq!(generation.lost(), Some(FinishReason::Length));
+    assert_eq!(generation.runner_lost(), Some(FinishReason::Length));
     assert_eq!(generation.phase(), Phase::Complete);
 }
 
@@ -172,19 +172,19 @@
 #[test]
 fn versions_never_mix() {
     let mut seen = Generation::new(seed(), LIMIT, true);
-    let attempt = seen.granted(&"v1".into());
-    seen.token(attempt, &token(attempt, 0));
-    assert_eq!(seen.lost(), None);
-    assert!(!seen.restart());
+    let attempt = seen.start_attempt(&"v1".into());
+    seen.accept(attempt, &token(attempt, 0));
+    assert_eq!(seen.runner_lost(), None);
+    assert!(!seen.try_restart());
     assert_eq!(seen.give_up(), Phase::Partial);
 
     let mut unseen = Generation::new(seed(), LIMIT, false);
-    let attempt = unseen.granted(&"v1".into());
-    unseen.token(attempt, &token(attempt, 0));
-    assert_eq!(unseen.lost(), None);
-    assert!(unseen.restart());
+    let attempt = unseen.start_attempt(&"v1".into());
+    unseen.accept(attempt, &token(attempt, 0));
+    assert_eq!(unseen.runner_lost(), None);
+    assert!(unseen.try_restart());
     assert_eq!((unseen.next(), unseen.pin()), (0, None));
-    assert!(!unseen.restart(), "a second restart without a grant would go round for ever");
+    assert!(!unseen.try_restart(), "a second restart without a grant would go round for ever");
     assert_eq!(unseen.give_up(), Phase::Refused);
 }
 
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -155,7 +155,7 @@
     }
 
     fn generate(&mut self, grant: &Grant) -> Generate {
-        let attempt = self.generation.granted(&grant.version);
+        let attempt = self.generation.start_attempt(&grant.version);
         Generate {
             request: self.job.leg.clone(),
             attempt,
@@ -176,7 +176,7 @@
         loop {
             match event {
                 Ok(RunnerEvent::Token(attempt, token)) => {
-                    match self.generation.token(attempt, &token) {
+                    match self.generation.accept(attempt, &token) {
                         TokenAction::Deliver => batch.push(self.deliver(&mut open, token)),
                         TokenAction::Drop => self.control.metrics().add(Counter::DroppedTokens, 1),
                         TokenAction::Garbled => return self.stop(open, batch, Verdict::Garbled),
@@ -251,7 +251,7 @@
             Failure::Refused(status) => {
                 lease.verdict = Verdict::Rejected;
                 lease.again = false;
-                self.generation.lost();
+                self.generation.runner_lost();
                 let detail = format!("the runner answered {status}");
                 return Some(Piece::Failed(unknown(not_run(Kind::RunnerRefused, detail))));
             }
@@ -259,10 +259,10 @@
         lease.verdict = verdict;
         lease.again = false;
         self.avoid = Some(lease.grant.runner);
-        if let Some(reason) = self.generation.lost() {
+        if let Some(reason) = self.generation.runner_lost() {
             return Some(Piece::Finish(reason));
         }
-        if self.chooser.fall_back() && self.generation.restart() {
+        if self.chooser.fall_back() && self.generation.try_restart() {
             self.start_over();
             return None;
         }
@@ -281,7 +281,7 @@
     /// the budget, and its retries would overload the runners that are left.
     fn refused(&mut self, refuse: &Rejection) -> Option<Piece> {
         let missing = refuse.reason == Reason::NoRunner;
-        let unseen = self.generation.restart() || self.generation.pin().is_none();
+        let unseen = self.generation.try_restart() || self.generation.pin().is_none();
         if missing && unseen && (self.purpose == Purpose::Retry || self.chooser.fall_back()) {
             self.start_over();
             return None;
