--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -82,7 +82,7 @@
     let place = Location { region: "region-0".into(), domain: "domain-0".into() };
     let mut core = Core::new(1, place);
     let now = Instant::now();
-    let catalog = Arc::new(Catalog::default().renew(1, &doc(concurrent)));
+    let catalog = Arc::new(Catalog::default().updated(1, &doc(concurrent)));
     core.step(
         now,
         Event::Catalog { revision: catalog.revision, doc: Arc::new(catalog.doc()) },
--- a/crates/decide/examples/spread.rs
+++ b/crates/decide/examples/spread.rs
@@ -130,7 +130,7 @@
 
 impl Trial {
     fn new(policy: Policy) -> Trial {
-        let catalog = Arc::new(Catalog::default().renew(1, &doc()));
+        let catalog = Arc::new(Catalog::default().updated(1, &doc()));
         let start = Instant::now();
         let place = |i: usize| Location { region: "r".into(), domain: domain(i) };
         let mut nodes = (0..NODES).map(|i| Core::new(i as u64 + 1, place(i))).collect::<Vec<_>>();
--- a/crates/decide/src/catalog.rs
+++ b/crates/decide/src/catalog.rs
@@ -145,7 +145,7 @@
 
 impl Catalog {
     /// Makes the next catalogue from `doc`; names that stay keep their keys.
-    pub fn renew(&self, revision: Revision, doc: &CatalogDoc) -> Catalog {
+    pub fn updated(&self, revision: Revision, doc: &CatalogDoc) -> Catalog {
         let mut next = Catalog { revision, ..self.clone() };
         let entries: FxHashSet<_> = doc.entries.iter().map(|e| &e.name).collect();
         let accounts: FxHashSet<_> = doc.accounts.iter().map(|a| &a.name).collect();
@@ -178,7 +178,7 @@
     }
 
     /// Finds the account that has a key with this digest.
-    pub fn holder(&self, digest: &str) -> Option<AccountKey> {
+    pub fn account_by_key(&self, digest: &str) -> Option<AccountKey> {
         self.digests.get(digest).copied()
     }
 
--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -134,7 +134,7 @@
         if revision <= self.catalog.revision {
             return;
         }
-        self.catalog = Arc::new(self.catalog.renew(revision, doc));
+        self.catalog = Arc::new(self.catalog.updated(revision, doc));
         self.access = access(&self.catalog);
         let entries = &self.catalog.entries;
         self.limits.keep(|e| entries.contains_key(e));
--- a/crates/decide/tests/routing/world.rs
+++ b/crates/decide/tests/routing/world.rs
@@ -35,7 +35,7 @@
     /// A core in domain `a` whose one entry has `limits`, and an account for each bound.
     pub(crate) fn new(seed: u64, limits: Limits, bounds: &[u32]) -> World {
         let names = (0..bounds.len()).map(|i| format!("account-{i}")).collect::<Vec<_>>();
-        let catalog = Arc::new(Catalog::default().renew(1, &doc(limits, &names, bounds)));
+        let catalog = Arc::new(Catalog::default().updated(1, &doc(limits, &names, bounds)));
         let place = Location { region: "east-mids".into(), domain: "a".into() };
         let mut world = World {
             core: Core::new(seed, place),
@@ -70,7 +70,7 @@
         let mut doc = self.core.catalog().doc();
         change(&mut doc);
         let revision = self.core.catalog().revision + 1;
-        let next = self.core.catalog().renew(revision, &doc);
+        let next = self.core.catalog().updated(revision, &doc);
         self.step(Event::Catalog { revision: next.revision, doc: Arc::new(next.doc()) })
     }
 
--- a/examples/measure/control/state.rs
+++ b/examples/measure/control/state.rs
@@ -85,8 +85,8 @@
             black_box(serde_json::from_str::<CatalogDoc>(&text).expect("it was just written"));
         });
         let check = micros(10, || _ = black_box(doc.check()));
-        let old = Catalog::default().renew(1, &doc);
-        let renew = micros(10, || _ = black_box(old.renew(2, &doc)));
+        let old = Catalog::default().updated(1, &doc);
+        let renew = micros(10, || _ = black_box(old.updated(2, &doc)));
         let size = text.len() as f64 / 1024.0;
         println!("{accounts:>8} {size:>10.1} {read:>10.0} {check:>10.0} {renew:>10.0}");
     }
--- a/src/traffic/auth.rs
+++ b/src/traffic/auth.rs
@@ -29,6 +29,6 @@
     let key = bearer(headers)
         .ok_or_else(|| not_run(Kind::Unauthorized, "send `Authorization: Bearer KEY`"))?;
     catalog
-        .holder(&digest(key))
+        .account_by_key(&digest(key))
         .ok_or_else(|| not_run(Kind::Unauthorized, "no account has this key"))
 }
--- a/tests/catalogue_keys.rs
+++ b/tests/catalogue_keys.rs
@@ -49,7 +49,7 @@
 async fn an_entry_keeps_its_key_over_two_quick_revisions() {
     let first = numbered(1, &["verify-llm"]);
     let second = numbered(2, &["redactor-lm", "verify-llm"]);
-    let before = Catalog::default().renew(1, &first.catalogue).entry("verify-llm");
+    let before = Catalog::default().updated(1, &first.catalogue).entry("verify-llm");
     let view = taken(vec![first, second]).await;
     assert_eq!(view.catalog.revision, 2);
     assert!(before.is_some());
