--- a/crates/decide/src/catalog/check.rs
+++ b/crates/decide/src/catalog/check.rs
@@ -58,31 +58,31 @@
 pub enum FaultKind {
     /// Two things of one list have the same name.
     #[error("`{0}` is there twice")]
-    Twice(CompactString),
+    Duplicate(CompactString),
     /// A name can't stand in a URL path segment.
     #[error("`{0}` is not a name")]
-    Name(CompactString),
+    InvalidName(CompactString),
     /// Nobody answers for the entry.
     #[error("the owner is empty")]
-    Owner,
+    EmptyOwner,
     /// The version in force isn't among those that may be served.
     #[error("version `{0}` is not among `versions`")]
-    Version(CompactString),
+    UnknownVersion(CompactString),
     /// An entry may be used by an account that doesn't exist.
     #[error("no account is named `{0}`")]
-    Account(CompactString),
+    UnknownAccount(CompactString),
     /// A key's digest has the wrong form.
     #[error("not a SHA-256 digest")]
-    Digest,
+    InvalidDigest,
     /// A limit would refuse everything.
     #[error("the limit is 0")]
-    Zero,
+    ZeroLimit,
     /// A list that needs an element has none.
     #[error("the list is empty")]
-    Empty,
+    EmptyList,
     /// A list is longer than the system is built for.
     #[error("{found} elements, more than {max}")]
-    Many {
+    TooMany {
         /// Length of the list.
         found: usize,
         /// Longest that is allowed.
@@ -94,20 +94,24 @@
     /// What the operator can do.
     pub fn help(&self) -> String {
         match self {
-            FaultKind::Twice(_) => "give each its own name, or remove one".into(),
-            FaultKind::Name(_) => {
+            FaultKind::Duplicate(_) => "give each its own name, or remove one".into(),
+            FaultKind::InvalidName(_) => {
                 format!("use up to {MAX_NAME} letters, digits, `-`, `_` and `.`, and no other sign")
             }
-            FaultKind::Owner => "write the team that answers for the entry".into(),
-            FaultKind::Version(_) => "add it to `versions`, or choose one of them".into(),
-            FaultKind::Account(_) => "add it to `accounts` of the catalogue, or correct it".into(),
-            FaultKind::Digest => {
+            FaultKind::EmptyOwner => "write the team that answers for the entry".into(),
+            FaultKind::UnknownVersion(_) => "add it to `versions`, or choose one of them".into(),
+            FaultKind::UnknownAccount(_) => {
+                "add it to `accounts` of the catalogue, or correct it".into()
+            }
+            FaultKind::InvalidDigest => {
                 "write 64 lower-case hex digits, as printed by: printf %s \"$KEY\" | sha256sum"
                     .into()
             }
-            FaultKind::Zero => "write a number above 0, or leave it out for the default".into(),
-            FaultKind::Empty => "write at least one element".into(),
-            FaultKind::Many { max, .. } => format!("keep at most {max}"),
+            FaultKind::ZeroLimit => {
+                "write a number above 0, or leave it out for the default".into()
+            }
+            FaultKind::EmptyList => "write at least one element".into(),
+            FaultKind::TooMany { max, .. } => format!("keep at most {max}"),
         }
     }
 }
@@ -161,7 +165,7 @@
             let at = [field, Step::Item(i)];
             faults.name(&[at[0], at[1], Step::Field("name")], &entry.name, &mut names);
             if entry.owner.trim().is_empty() {
-                faults.add(&[at[0], at[1], Step::Field("owner")], FaultKind::Owner);
+                faults.add(&[at[0], at[1], Step::Field("owner")], FaultKind::EmptyOwner);
             }
             check_versions(faults, at, entry);
             check_limits(faults, at, &entry.limits);
@@ -180,7 +184,7 @@
     }
     if !entry.versions.contains(&entry.version) {
         let path = [at[0], at[1], Step::Field("version")];
-        faults.add(&path, FaultKind::Version(entry.version.clone()));
+        faults.add(&path, FaultKind::UnknownVersion(entry.version.clone()));
     }
 }
 
@@ -199,7 +203,7 @@
         ("call_ms", call_ms),
     ];
     for (name, _) in values.iter().filter(|(_, value)| *value == 0) {
-        faults.add(&[at[0], at[1], Step::Field("limits"), Step::Field(name)], FaultKind::Zero);
+        faults.add(&[at[0], at[1], Step::Field("limits"), Step::Field(name)], FaultKind::ZeroLimit);
     }
 }
 
@@ -209,13 +213,13 @@
         let path = |field| [at[0], at[1], Step::Field("accounts"), Step::Item(i), field];
         let (account, concurrent) = (Step::Field("account"), Step::Field("concurrent"));
         if !accounts.contains(access.account.as_str()) {
-            faults.add(&path(account), FaultKind::Account(access.account.clone()));
+            faults.add(&path(account), FaultKind::UnknownAccount(access.account.clone()));
         }
         if !names.insert(access.account.as_str()) {
-            faults.add(&path(account), FaultKind::Twice(access.account.clone()));
+            faults.add(&path(account), FaultKind::Duplicate(access.account.clone()));
         }
         if access.concurrent == 0 {
-            faults.add(&path(concurrent), FaultKind::Zero);
+            faults.add(&path(concurrent), FaultKind::ZeroLimit);
         }
     }
 }
@@ -232,32 +236,32 @@
 
     fn least(&mut self, path: &[Step], found: usize) {
         if found == 0 {
-            self.add(path, FaultKind::Empty);
+            self.add(path, FaultKind::EmptyList);
         }
     }
 
     fn most(&mut self, path: &[Step], found: usize, max: usize) {
         if found > max {
-            self.add(path, FaultKind::Many { found, max });
+            self.add(path, FaultKind::TooMany { found, max });
         }
     }
 
     fn name<'a>(&mut self, path: &[Step], name: &'a str, known: &mut FxHashSet<&'a str>) {
         if !is_name(name) {
-            self.add(path, FaultKind::Name(name.into()));
+            self.add(path, FaultKind::InvalidName(name.into()));
         }
         if !known.insert(name) {
-            self.add(path, FaultKind::Twice(name.into()));
+            self.add(path, FaultKind::Duplicate(name.into()));
         }
     }
 
     /// A digest of two accounts would give the requests of one to the other.
     fn digest<'a>(&mut self, path: &[Step], digest: &'a str, known: &mut FxHashSet<&'a str>) {
         if !is_digest(digest) {
-            self.add(path, FaultKind::Digest);
+            self.add(path, FaultKind::InvalidDigest);
         }
         if !known.insert(digest) {
-            self.add(path, FaultKind::Twice(digest.into()));
+            self.add(path, FaultKind::Duplicate(digest.into()));
         }
     }
 }
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -72,13 +72,15 @@
 
 fn operators(doc: &Document, settings: &Settings, faults: &mut Vec<Located>) {
     if settings.operators.is_empty() {
-        let help =
-            format!("without a key nobody can apply a catalogue; {}", FaultKind::Digest.help());
+        let help = format!(
+            "without a key nobody can apply a catalogue; {}",
+            FaultKind::InvalidDigest.help()
+        );
         faults.push(doc.fault(&[Step::Field("operators")], "`operators` has no digest", &help));
     }
     for (i, _) in settings.operators.iter().enumerate().filter(|(_, d)| !is_digest(d)) {
         let path = [Step::Field("operators"), Step::Item(i)];
-        let fault = FaultKind::Digest;
+        let fault = FaultKind::InvalidDigest;
         faults.push(doc.fault(&path, fault.to_string(), &fault.help()));
     }
 }
--- a/tests/catalogue.rs
+++ b/tests/catalogue.rs
@@ -46,7 +46,7 @@
         |i| Account { name: format!("account-{i}").into(), keys: vec![format!("{i:064x}").into()] };
     doc.accounts.extend((doc.accounts.len()..=MAX_ACCOUNTS).map(account));
     let faults = doc.check();
-    let many = FaultKind::Many { found: MAX_ACCOUNTS + 1, max: MAX_ACCOUNTS };
+    let many = FaultKind::TooMany { found: MAX_ACCOUNTS + 1, max: MAX_ACCOUNTS };
     assert_eq!(faults.iter().map(|f| &f.kind).collect::<Vec<_>>(), [&many]);
     doc.accounts.pop();
     assert_eq!(doc.check(), []);
