--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -36,7 +36,7 @@
     /// Why.
     pub reason: Reason,
     /// When asking again may help; `None` when it won't.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// Why a request gets no runner.
--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -209,7 +209,7 @@
         out: &mut Vec<Action>,
     ) {
         self.close(ticket);
-        out.push(Action::Reject(Rejection { ticket, reason, retry }));
+        out.push(Action::Reject(Rejection { ticket, reason, retry_after: retry }));
     }
 
     fn pump_all(&mut self, now: Instant, out: &mut Vec<Action>) {
--- a/crates/decide/tests/routing/admission.rs
+++ b/crates/decide/tests/routing/admission.rs
@@ -59,7 +59,7 @@
     let (_, out) = world.ask(1);
     assert_eq!(reasons(&out), [Reason::AccountLimit]);
     // Four run, of 8 s each: one of them should end in 2 s.
-    assert_eq!(refusals(&out)[0].retry, Some(Duration::from_secs(2)));
+    assert_eq!(refusals(&out)[0].retry_after, Some(Duration::from_secs(2)));
 }
 
 #[test]
--- a/crates/decide/tests/routing/budget.rs
+++ b/crates/decide/tests/routing/budget.rs
@@ -79,7 +79,7 @@
     }
     let refused = refusals(&out);
     assert!(refused.iter().any(|r| r.reason == Reason::NoBudget));
-    assert!(refused.iter().all(|r| r.retry.is_some_and(|t| t.as_secs() >= 1)));
+    assert!(refused.iter().all(|r| r.retry_after.is_some_and(|t| t.as_secs() >= 1)));
 }
 
 #[test]
--- a/crates/decide/tests/routing/queue.rs
+++ b/crates/decide/tests/routing/queue.rs
@@ -44,7 +44,7 @@
     assert!(world.wait(950).is_empty());
     let out = world.wait(50);
     assert_eq!(reasons(&out), [Reason::WaitTooLong]);
-    assert!(refusals(&out)[0].retry.is_some());
+    assert!(refusals(&out)[0].retry_after.is_some());
 }
 
 // The caller would wait for nothing: 1. Requests take 4 s each, three at once. 2. Two wait already.
@@ -61,7 +61,7 @@
     assert!(world.ask(0).1.is_empty());
     let (_, out) = world.ask(0);
     assert_eq!(reasons(&out), [Reason::WaitTooLong]);
-    assert_eq!(refusals(&out)[0].retry, Some(Duration::from_secs(1)));
+    assert_eq!(refusals(&out)[0].retry_after, Some(Duration::from_secs(1)));
 }
 
 #[test]
--- a/src/control.rs
+++ b/src/control.rs
@@ -115,7 +115,7 @@
     pub async fn ask(&self, ask: RunnerRequest) -> Result<Grant> {
         let ticket = ask.ticket;
         let (answer, wait) = oneshot::channel();
-        let gone = Rejection { ticket, reason: Reason::NoRunner, retry: None };
+        let gone = Rejection { ticket, reason: Reason::NoRunner, retry_after: None };
         if self.sender.send(Message::Ask(ask, answer)).is_err() {
             return Err(gone);
         }
--- a/src/traffic/problem.rs
+++ b/src/traffic/problem.rs
@@ -165,7 +165,7 @@
         Reason::NoBudget => (Kind::NoRunner, "too many requests are being tried again"),
     };
     let problem = not_run(kind, detail);
-    match refuse.retry {
+    match refuse.retry_after {
         Some(after) => again(problem, after),
         None => problem,
     }
