--- a/crates/decide/src/mover/track.rs
+++ b/crates/decide/src/mover/track.rs
@@ -4,14 +4,14 @@
     super::{
         MoveError, Output, Table,
         asked::Asked,
-        evidence::{Collector, Counts, Pool, Sample},
+        evidence::{Collector, Counts, PooledEvidence, Sample},
         lease::Lease,
-        news::{Freshness, PeerNews, TELL, Verdicts},
         record::{MoveId, MoveRow},
         split::Split,
         standing::{Cause, Standing, Verdict},
         units::{Millis, Share},
-        verdict::Judge,
+        update::{Freshness, MoveUpdate, TELL, Verdicts},
+        verdict::SequentialTest,
     },
     crate::id::Incarnation,
     compact_str::CompactString,
@@ -51,9 +51,9 @@
     pub(super) step_base: u32,
     pub(super) lease: Lease,
     pub(super) fresh: Freshness,
-    pub(super) judge: Judge,
+    pub(super) judge: SequentialTest,
     pub(super) wanted: Option<Wanted>,
-    pool: Pool,
+    pool: PooledEvidence,
     pub(super) routes: BTreeMap<CompactString, Counts>,
     collector: Collector,
     verdicts: Verdicts,
@@ -80,9 +80,9 @@
             step_base: 0,
             lease: Lease::default(),
             fresh,
-            judge: Judge::new(now, Duration::ZERO),
+            judge: SequentialTest::new(now, Duration::ZERO),
             wanted: None,
-            pool: Pool::default(),
+            pool: PooledEvidence::default(),
             routes: BTreeMap::new(),
             collector: Collector::default(),
             verdicts: Verdicts::default(),
@@ -120,7 +120,7 @@
         match &self.standing {
             Standing::Moving(_) => {
                 let share = moved.share(&self.standing);
-                let suspected = self.judge.suspects(now);
+                let suspected = self.judge.is_suspect(now);
                 let share = if suspected { share.min(SUSPECT_SHARE) } else { share };
                 Some(split(share, Some(self.fresh.until()?)))
             }
@@ -156,10 +156,10 @@
         let same = self.row.as_ref().is_some_and(|r| r.moved.id == id);
         let before = self.standing.clone();
         if !same {
-            self.pool = Pool::default();
+            self.pool = PooledEvidence::default();
             self.collector.renew();
             self.reported = 0;
-            self.judge = Judge::new(now, millis(row.moved.by.saturating_sub(wall)));
+            self.judge = SequentialTest::new(now, millis(row.moved.by.saturating_sub(wall)));
             self.routes.clear();
             self.standing = Standing::Moving(0);
         }
@@ -211,7 +211,7 @@
         }
     }
 
-    pub(super) fn hear(&mut self, now: Instant, me: Incarnation, news: &PeerNews) {
+    pub(super) fn hear(&mut self, now: Instant, me: Incarnation, news: &MoveUpdate) {
         self.fresh.hear(me, news);
         let mine = self.row.as_ref().is_some_and(|r| r.moved.id == news.id);
         if let Some(verdict) = &news.verdict
@@ -225,7 +225,7 @@
         }
         self.join_verdict(news.id);
         if let Some(evidence) = &news.evidence {
-            self.pool.absorb(news.from, evidence);
+            self.pool.merge(news.from, evidence);
         }
     }
 
@@ -246,12 +246,12 @@
         let by = row.moved.by;
         if now >= self.look_at {
             self.look_at = now + LOOK;
-            self.pool.absorb(table.me, self.collector.evidence());
-            if let Some(routes) = self.pool.news() {
+            self.pool.merge(table.me, self.collector.evidence());
+            if let Some(routes) = self.pool.take_changed() {
                 self.routes = routes;
             }
-            let found = self.judge.look(now, &self.routes, self.fresh.nodes());
-            if self.judge.suspects(now) {
+            let found = self.judge.evaluate(now, &self.routes, self.fresh.nodes());
+            if self.judge.is_suspect(now) {
                 self.step_since = now;
                 self.step_base = self.served();
             }
@@ -280,7 +280,7 @@
         let mine = self.collector.evidence();
         let changed = mine.sequence > self.reported;
         self.reported = mine.sequence;
-        out.push(Output::Tell(PeerNews {
+        out.push(Output::Broadcast(MoveUpdate {
             from: me,
             sequence,
             acks,
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -26,7 +26,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Event, Fault, Found, Holder, Intent, Life, Outcome, Owner, Verdict, peek,
+            Action, Event, Fault, Holder, Intent, IntentRow, Outcome, Owner, RequestLifecycle,
+            Verdict, peek,
         },
     },
     bilberryfront_wire::table::{Read, Row, Write, Written},
@@ -197,7 +198,7 @@
     async fn enter(&self, call: &Call, first: Event) -> Claim {
         let claim = self.claims.fetch_add(1, Ordering::Relaxed);
         let owner = Owner { incarnation: self.incarnation, claim };
-        let life = Life::new(owner, call.digest.clone(), Instant::now(), unix_now());
+        let life = RequestLifecycle::new(owner, call.digest.clone(), Instant::now(), unix_now());
         self.drive(Held { row: call.row(), life }, first).await
     }
 
@@ -237,7 +238,7 @@
                 self.recent().note(&held.row, row.intent.holder());
                 Claim::Mine(Permit::new(held, self.shelf.clone(), self.orphans.clone()))
             }
-            Action::Say(verdict) => self.say(verdict, &held.row, why),
+            Action::Respond(verdict) => self.say(verdict, &held.row, why),
             _ => Claim::Unclear,
         }
     }
@@ -273,7 +274,7 @@
             let outcome = self.write(&held.row, &found).await.map(Event::Written);
             let event = outcome.unwrap_or_else(|error| failed(error, &mut None));
             action = step(&mut held.life, event, &self.shelf);
-            if action == Action::Rest {
+            if action == Action::Finish {
                 return true;
             }
             waits = waits.or_else(|| self.records.try_acquire().ok());
@@ -288,13 +289,13 @@
         false
     }
 
-    async fn write(&self, row: &CompactString, found: &Found) -> Result<Written> {
+    async fn write(&self, row: &CompactString, found: &IntentRow) -> Result<Written> {
         let value = serde_json::to_string(&found.intent).expect("plain data serializes");
         let expect = Some(found.revision);
         self.batch.write(Write { key: row.clone(), expect, value: Some(value) }).await
     }
 
-    async fn read(&self, row: &CompactString) -> Result<Option<Found>> {
+    async fn read(&self, row: &CompactString) -> Result<Option<IntentRow>> {
         let read = Read { keys: vec![row.clone()] };
         let rows = match timeout(self.limits.slow, self.table.read(&read)).await {
             Ok(rows) => rows?.rows,
@@ -305,10 +306,10 @@
 }
 
 /// A row that is no intent is as good as none that can be read: nobody may send the call.
-fn found(row: &Row) -> Result<Found> {
+fn found(row: &Row) -> Result<IntentRow> {
     let intent: Intent =
         serde_json::from_str(&row.value).map_err(|e| PlatformError::Lost(e.to_string()))?;
-    Ok(Found { revision: row.revision, intent })
+    Ok(IntentRow { revision: row.revision, intent })
 }
 
 fn failed(error: PlatformError, why: &mut Option<PlatformError>) -> Event {
--- a/src/intents/permit.rs
+++ b/src/intents/permit.rs
@@ -1,24 +1,26 @@
 //! The right to send a call once.
 
 use {
-    bilberryfront_decide::intent::{Action, Event, Life, Outcome, Shelf, State},
+    bilberryfront_decide::intent::{
+        AbandonedClaims, Action, Event, Outcome, RequestLifecycle, State,
+    },
     compact_str::CompactString,
     std::sync::{Arc, Mutex, PoisonError},
     tokio::{sync::mpsc, time::Instant},
 };
 
 /// The shelf of this node's life, which all its requests share.
-pub(super) type SharedShelf = Arc<Mutex<Shelf>>;
+pub(super) type SharedShelf = Arc<Mutex<AbandonedClaims>>;
 
 /// Steps a life with the shared shelf.
-pub(super) fn step(life: &mut Life, event: Event, shelf: &SharedShelf) -> Action {
+pub(super) fn step(life: &mut RequestLifecycle, event: Event, shelf: &SharedShelf) -> Action {
     life.step(event, &mut shelf.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 /// A call's life from its claim to its record, and its row's key.
 pub(super) struct Held {
     pub(super) row: CompactString,
-    pub(super) life: Life,
+    pub(super) life: RequestLifecycle,
 }
 
 /// An outcome for a claim whose permit was dropped.
