--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -2,14 +2,14 @@
 
 use {
     crate::{
-        action::{Action, Reason, Refuse},
+        action::{Action, Reason, Rejection},
         catalog::{Catalog, CatalogDoc, Entry},
         core::lane::Lane,
-        event::{Ask, Done, Event, Verdict},
+        event::{Done, Event, RunnerRequest, Verdict},
         fleet::Fleet,
         id::{AccountKey, EntryKey, Revision, RunnerKey, Ticket},
         limits::{Limits, Scope},
-        place::Place,
+        location::Location,
     },
     bilberryfront_wire::instance::Instance,
     rustc_hash::FxHashMap,
@@ -60,7 +60,7 @@
 impl Core {
     /// A core that knows nothing yet, of a node at `place`. Equal seeds decide equally; the seed
     /// also tells the nodes apart when each chooses the runners that it talks to.
-    pub fn new(seed: u64, place: Place) -> Core {
+    pub fn new(seed: u64, place: Location) -> Core {
         Core {
             catalog: Arc::default(),
             access: FxHashMap::default(),
@@ -74,7 +74,7 @@
     /// Takes one event that happened at `now` and appends what is to be done to `out`. `now` never
     /// goes back.
     ///
-    /// Each [`Ask`] is answered once, by this step or a later one, with a grant or a refusal, unless
+    /// Each [`RunnerRequest`] is answered once, by this step or a later one, with a grant or a refusal, unless
     /// it is forgotten first. A refused request is over: its admission is given back.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
@@ -88,10 +88,10 @@
                 self.fleet.report(runner, &report);
                 self.pump_of(now, runner, out);
             }
-            Event::Silent { runner } => self.fleet.silent(now, runner),
-            Event::Ask(ask) => self.ask(now, &ask, out),
-            Event::Forget(ticket) => self.forget(now, ticket, out),
-            Event::Begun(ticket) => self.begun(ticket),
+            Event::LoadMissing { runner } => self.fleet.silent(now, runner),
+            Event::Request(ask) => self.ask(now, &ask, out),
+            Event::Cancel(ticket) => self.forget(now, ticket, out),
+            Event::Started(ticket) => self.begun(ticket),
             Event::Done(done) => self.done(now, &done, out),
             Event::Peers(peers) => {
                 self.limits.peers(&peers);
@@ -134,7 +134,7 @@
         if revision <= self.catalog.revision {
             return;
         }
-        self.catalog = Arc::new(self.catalog.renew(revision, doc));
+        self.catalog = Arc::new(self.catalog.updated(revision, doc));
         self.access = access(&self.catalog);
         let entries = &self.catalog.entries;
         self.limits.keep(|e| entries.contains_key(e));
@@ -183,7 +183,7 @@
         let Stage::Running { runner, since } = held.stage else { return };
         let entry = held.entry;
         self.fleet.done(now, runner, done);
-        match done.again {
+        match done.will_retry {
             true => held.stage = Stage::Between,
             false => self.close(done.ticket),
         }
@@ -209,7 +209,7 @@
         out: &mut Vec<Action>,
     ) {
         self.close(ticket);
-        out.push(Action::Refuse(Refuse { ticket, reason, retry }));
+        out.push(Action::Reject(Rejection { ticket, reason, retry_after: retry }));
     }
 
     fn pump_all(&mut self, now: Instant, out: &mut Vec<Action>) {
@@ -226,7 +226,7 @@
     }
 
     /// Whether the node's shares leave room for the request, or it has its admission already.
-    fn admits(&mut self, entry: &Entry, ask: &Ask) -> bool {
+    fn admits(&mut self, entry: &Entry, ask: &RunnerRequest) -> bool {
         if self.tickets.get(&ask.ticket).is_some_and(|h| h.admitted) {
             return true;
         }
--- a/crates/decide/tests/routing/differential.rs
+++ b/crates/decide/tests/routing/differential.rs
@@ -6,7 +6,7 @@
         Action, Event,
         action::Grant,
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
         id::{RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -91,7 +91,7 @@
 /// What the model knows of a request.
 #[derive(Clone, Debug)]
 struct Request {
-    ask: Ask,
+    ask: RunnerRequest,
     account: usize,
     /// Asked for and not answered yet.
     waits: bool,
@@ -141,12 +141,12 @@
         match op {
             Op::First { account, prefix, pin } => {
                 let pin = pin.then(|| V2.into());
-                let ask = Ask { prefix, pin, ..self.world.draft(account % 3) };
+                let ask = RunnerRequest { prefix, pin, ..self.world.draft(account % 3) };
                 self.ask(ask, account % 3);
             }
             Op::Resume { account } => {
                 let draft = self.world.draft(account % 3);
-                let ask = Ask { purpose: Purpose::Resume, pin: Some(V1.into()), ..draft };
+                let ask = RunnerRequest { purpose: Purpose::Resume, pin: Some(V1.into()), ..draft };
                 self.ask(ask, account % 3);
             }
             Op::Again { nth, avoid } => self.again(nth, avoid),
@@ -160,7 +160,7 @@
             Op::Silent { runner } => {
                 let Some(known) = self.known(RUNNERS[runner % 5]) else { return };
                 let runner = known.key;
-                self.step(Event::Silent { runner });
+                self.step(Event::LoadMissing { runner });
             }
             Op::List { gone, leaving, stale } => self.list(gone, leaving, stale),
             Op::Peers { nodes, account, running } => {
@@ -179,7 +179,7 @@
         self.check(out);
     }
 
-    fn ask(&mut self, ask: Ask, account: usize) {
+    fn ask(&mut self, ask: RunnerRequest, account: usize) {
         self.requests.push(Request {
             ask: ask.clone(),
             account,
@@ -187,7 +187,7 @@
             granted: None,
             admitted: false,
         });
-        self.step(Event::Ask(ask));
+        self.step(Event::Request(ask));
     }
 
     fn again(&mut self, nth: usize, avoid: bool) {
@@ -199,10 +199,10 @@
         let len = between.len();
         let request = &mut between[nth % len];
         request.waits = true;
-        request.ask.purpose = Purpose::Again;
+        request.ask.purpose = Purpose::Retry;
         request.ask.avoid = request.ask.avoid.filter(|_| avoid);
         let ask = request.ask.clone();
-        self.step(Event::Ask(ask));
+        self.step(Event::Request(ask));
     }
 
     fn done(&mut self, nth: usize, verdict: Verdict, again: bool) {
@@ -231,7 +231,7 @@
         }
         let ticket = idle[nth % idle.len()];
         self.requests.retain(|r| r.ask.ticket != ticket);
-        self.step(Event::Forget(ticket));
+        self.step(Event::Cancel(ticket));
     }
 
     fn load(&mut self, name: &str, mut report: LoadReport, cached: u64) {
@@ -273,7 +273,7 @@
         for action in &out {
             match action {
                 Action::Grant(grant) => self.check_grant(grant),
-                Action::Refuse(refuse) => {
+                Action::Reject(refuse) => {
                     self.request(refuse.ticket);
                     self.requests.retain(|r| r.ask.ticket != refuse.ticket);
                 }
--- a/crates/decide/tests/routing/runners.rs
+++ b/crates/decide/tests/routing/runners.rs
@@ -6,7 +6,7 @@
         Event,
         action::{Grant, Reason},
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
     },
     bilberryfront_wire::{
         instance::{InstanceList, InstanceState},
@@ -67,7 +67,7 @@
     world.wait(650);
     let probe = world.granted(0);
     assert_eq!(probe.runner, first.runner);
-    world.step(Event::Begun(probe.ticket));
+    world.step(Event::Started(probe.ticket));
     let sent = (0..6).map(|_| world.granted(0).runner).collect::<Vec<_>>();
     assert!(sent.contains(&probe.runner), "its load goes up with the other's");
 }
@@ -113,9 +113,9 @@
 fn silent_load_reports_make_a_suspect_and_a_report_clears_it() {
     let mut world = world(2);
     let runner = world.runner("r0");
-    world.step(Event::Silent { runner });
+    world.step(Event::LoadMissing { runner });
     assert!(got(&mut world, "r0", 20) > 0, "one missed report is no evidence");
-    world.step(Event::Silent { runner });
+    world.step(Event::LoadMissing { runner });
     world.wait(5_000);
     assert_eq!(got(&mut world, "r0", 20), 0, "no request is risked while it is silent");
     world.load("r0", report(0, 8));
@@ -203,7 +203,7 @@
 #[test]
 fn a_version_that_no_runner_has_is_refused() {
     let mut world = world(1);
-    let ask = Ask { pin: Some("v9".into()), purpose: Purpose::Resume, ..world.draft(0) };
-    assert_eq!(reasons(&world.step(Event::Ask(ask))), [Reason::NoRunner]);
+    let ask = RunnerRequest { pin: Some("v9".into()), purpose: Purpose::Resume, ..world.draft(0) };
+    assert_eq!(reasons(&world.step(Event::Request(ask))), [Reason::NoRunner]);
     assert!(world.core.runners().all(|(_, r)| r.entry == ENTRY));
 }
--- a/crates/scenarios/src/node.rs
+++ b/crates/scenarios/src/node.rs
@@ -23,7 +23,7 @@
         traffic::services::Services,
     },
     bilberryfront_decide::{
-        Core, Event, Place,
+        Core, Event, Location,
         id::Incarnation,
         member::{Drain, Me, Members, message},
         mover::Mover,
@@ -169,15 +169,15 @@
         for (runner, instance) in &control.view().runners {
             control.tell(match wire.load(&instance.url) {
                 Some(report) => Event::Load { runner: *runner, report },
-                None => Event::Silent { runner: *runner },
+                None => Event::LoadMissing { runner: *runner },
             });
         }
         sleep(LOAD_EVERY).await;
     }
 }
 
-fn location() -> Place {
-    Place { region: "region".into(), domain: "domain-1".into() }
+fn location() -> Location {
+    Location { region: "region".into(), domain: "domain-1".into() }
 }
 
 fn me(name: &str, seed: u64) -> Me {
--- a/examples/measure/control/state.rs
+++ b/examples/measure/control/state.rs
@@ -5,7 +5,7 @@
     crate::process::own_resident,
     bilberryfront::control::view::Published,
     bilberryfront_decide::{
-        Core, Event, Place,
+        Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
         event::PeerUse,
         id::Incarnation,
@@ -85,8 +85,8 @@
             black_box(serde_json::from_str::<CatalogDoc>(&text).expect("it was just written"));
         });
         let check = micros(10, || _ = black_box(doc.check()));
-        let old = Catalog::default().renew(1, &doc);
-        let renew = micros(10, || _ = black_box(old.renew(2, &doc)));
+        let old = Catalog::default().updated(1, &doc);
+        let renew = micros(10, || _ = black_box(old.updated(2, &doc)));
         let size = text.len() as f64 / 1024.0;
         println!("{accounts:>8} {size:>10.1} {read:>10.0} {check:>10.0} {renew:>10.0}");
     }
@@ -133,7 +133,7 @@
 }
 
 fn core(list: &InstanceList) -> Core {
-    let location = Place { region: "region-0".into(), domain: "east-mids-0".into() };
+    let location = Location { region: "region-0".into(), domain: "east-mids-0".into() };
     let mut core = Core::new(1, location);
     let (now, doc) = (Instant::now(), Arc::new(doc(750)));
     core.step(now, Event::Catalog { revision: 1, doc }, &mut Vec::new());
--- a/src/control.rs
+++ b/src/control.rs
@@ -12,8 +12,8 @@
     },
     bilberryfront_decide::{
         Action, Core, Event,
-        action::{Grant, Reason, Refuse},
-        event::{Ask, Done},
+        action::{Grant, Reason, Rejection},
+        event::{Done, RunnerRequest},
         id::Ticket,
     },
     moves::Moves,
@@ -33,7 +33,7 @@
 };
 
 /// A result whose error is the core's refusal.
-pub type Result<T> = std::result::Result<T, Refuse>;
+pub type Result<T> = std::result::Result<T, Rejection>;
 
 /// Events taken in one go before actions are carried out.
 const BATCH: usize = 64;
@@ -41,7 +41,7 @@
 /// What the control thread is sent.
 pub enum Message {
     /// A request wants a runner, and waits for the answer.
-    Ask(Ask, oneshot::Sender<Result<Grant>>),
+    Ask(RunnerRequest, oneshot::Sender<Result<Grant>>),
     /// Anything else that happened.
     Event(Event),
 }
@@ -112,10 +112,10 @@
     }
 
     /// Waits for a runner. When the returned future is dropped early, the core forgets the request.
-    pub async fn ask(&self, ask: Ask) -> Result<Grant> {
+    pub async fn ask(&self, ask: RunnerRequest) -> Result<Grant> {
         let ticket = ask.ticket;
         let (answer, wait) = oneshot::channel();
-        let gone = Refuse { ticket, reason: Reason::NoRunner, retry: None };
+        let gone = Rejection { ticket, reason: Reason::NoRunner, retry_after: None };
         if self.sender.send(Message::Ask(ask, answer)).is_err() {
             return Err(gone);
         }
@@ -140,7 +140,7 @@
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
         if self.armed {
-            self.control.tell(Event::Forget(self.ticket));
+            self.control.tell(Event::Cancel(self.ticket));
         }
     }
 }
@@ -174,11 +174,11 @@
             let event = match message {
                 Message::Ask(ask, answer) => {
                     asks.insert(ask.ticket, answer);
-                    Event::Ask(ask)
+                    Event::Request(ask)
                 }
                 Message::Event(event) => event,
             };
-            if let Event::Forget(ticket) = event {
+            if let Event::Cancel(ticket) = event {
                 asks.remove(&ticket);
             }
             changed |= matches!(event, Event::Catalog { .. } | Event::Instances(_));
@@ -211,7 +211,7 @@
             let taken = asks.remove(&ticket).is_some_and(|a| a.send(Ok(grant)).is_ok());
             (!taken).then(|| Done::cancelled(ticket))
         }
-        Action::Refuse(refuse) => {
+        Action::Reject(refuse) => {
             if let Some(answer) = asks.remove(&refuse.ticket) {
                 _ = answer.send(Err(refuse));
             }
