--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -1,17 +1,17 @@
 //! Membership and failure detection.
 //!
-//! Inputs are the platform's lagging instance list, heartbeats, connection errors, leave messages
-//! and gossip. Direct heartbeats take precedence over the list. The state of each node follows
-//! `charts/node.json`; see `docs/design/membership.md`.
+//! Inputs are the platform's instance list, which lags behind, heartbeats, connection errors, leave
+//! messages and gossip. Direct heartbeats take precedence over the list. The state of each node
+//! follows `charts/node.json`; see `docs/design/membership.md`.
 
 pub mod drain;
-pub mod message;
 mod merge;
-mod updates;
+pub mod message;
 mod record;
 mod ring;
 mod rounds;
 mod table;
+mod updates;
 
 pub use self::{
     drain::{Drain, DrainState},
@@ -43,9 +43,9 @@
 pub const RING_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence after which a watched node becomes suspect.
 pub const SILENCE: Duration = Duration::from_secs(2);
-/// Time after which a suspect that is not refuted is removed from address responses.
+/// Time after which a suspect is removed from address responses, unless the suspicion is refuted.
 pub const CONFIRM: Duration = Duration::from_millis(1_000);
-/// Time for which a suspicion is checked with others before it is gossiped.
+/// Time for which other nodes may refute a suspicion before it is gossiped.
 pub const ANSWER: Duration = Duration::from_millis(300);
 /// Retention of unlisted dead nodes, so that stale gossip cannot revive them.
 pub const TOMBSTONE: Duration = Duration::from_secs(600);
@@ -53,13 +53,14 @@
 pub const MAX_MEMBERS: usize = 2_048;
 
 /// Timeout of a catalogue pull.
-const PULL_RETRY: Duration = Duration::from_secs(1);
-/// Initial interval of anti-entropy; doubles up to the regular interval while little is learned.
-const SYNC_HURRY: Duration = Duration::from_secs(5);
+const PULL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Initial interval of anti-entropy; doubles up to the regular interval while exchanges bring few
+/// changes.
+const MIN_SYNC_INTERVAL: Duration = Duration::from_secs(5);
 /// Changes per exchange that reset the interval.
-const SYNC_MUCH: usize = 4;
+const SYNC_MIN_CHANGES: usize = 4;
 
-/// Identity of this node.
+/// Identity of the local node.
 #[derive(Clone, Debug)]
 pub struct Me {
     /// Name, as in the instance list and the certificate.
@@ -114,25 +115,31 @@
     usage: Vec<Usage>,
     records: BTreeMap<CompactString, Record>,
     ring: Ring,
-    stale_ring: bool,
+    ring_is_stale: bool,
     updates: UpdateQueue,
-    list: u64,
-    last: Instant,
-    sweep: Instant,
-    due: Instant,
-    probe: Instant,
-    sync: Instant,
-    pace: Duration,
-    beaten: Instant,
+    list_revision: u64,
+    last_tick: Instant,
+    /// Next check for expired timeouts.
+    sweep_at: Instant,
+    /// Next heartbeat.
+    heartbeat_at: Instant,
+    /// Next probe of a dead node.
+    probe_at: Instant,
+    /// Next anti-entropy exchange.
+    sync_at: Instant,
+    sync_interval: Duration,
+    /// Time of the last heartbeat.
+    last_sent: Instant,
+    /// Revision and time of the last catalogue pull.
     pull: Option<(Revision, Instant)>,
     rng: SmallRng,
 }
 
 impl Members {
-    /// A new node without members; equal seeds behave equally.
+    /// Creates a node without members; deterministic for a given seed.
     pub fn new(seed: u64, now: Instant, me: Me) -> Members {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let due = now + RING_INTERVAL.mul_f64(rng.random());
+        let heartbeat_at = now + RING_INTERVAL.mul_f64(rng.random());
         Members {
             me,
             state: NodeState::Starting,
@@ -141,23 +148,23 @@
             usage: Vec::new(),
             records: BTreeMap::new(),
             ring: Ring::default(),
-            stale_ring: false,
+            ring_is_stale: false,
             updates: UpdateQueue::default(),
-            list: 0,
-            last: now,
-            sweep: now,
-            due,
-            probe: now,
-            sync: now,
-            pace: SYNC_HURRY,
-            beaten: now,
+            list_revision: 0,
+            last_tick: now,
+            sweep_at: now,
+            heartbeat_at,
+            probe_at: now,
+            sync_at: now,
+            sync_interval: MIN_SYNC_INTERVAL,
+            last_sent: now,
             pull: None,
             rng,
         }
     }
 
     /// Handles a message from an authenticated node. [`PeerMessage::CatalogPush`] is handled by the
-    /// catalogue's owner, who then calls [`Members::set_revision`].
+    /// owner of the catalogue, which then calls [`Members::set_revision`].
     pub fn receive(
         &mut self,
         now: Instant,
@@ -167,7 +174,7 @@
     ) {
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, from, heartbeat, out),
-            PeerMessage::Revision(revision) => self.newer(now, from, *revision, out),
+            PeerMessage::Revision(revision) => self.pull_if_newer(now, from, *revision, out),
             PeerMessage::CatalogPull(after) if self.revision > *after => {
                 out.extend(self.target(from).map(Output::PushCatalog));
             }
@@ -186,12 +193,12 @@
             PeerMessage::MembersPush(claims) => {
                 let before = out.len();
                 claims.iter().for_each(|c| _ = self.merge(now, c, Gossip::No, out));
-                if out.len() - before >= SYNC_MUCH {
-                    self.pace = SYNC_HURRY;
-                    self.sync = self.sync.min(now + SYNC_HURRY);
+                if out.len() - before >= SYNC_MIN_CHANGES {
+                    self.sync_interval = MIN_SYNC_INTERVAL;
+                    self.sync_at = self.sync_at.min(now + MIN_SYNC_INTERVAL);
                 }
             }
-            PeerMessage::Claims(claims) => self.check(now, from, claims, out),
+            PeerMessage::Claims(claims) => self.merge_claims(now, from, claims, out),
             PeerMessage::Leave(moment) => {
                 let (moment, state) = (*moment, NodeState::Gone);
                 let claim = Claim { name: from.into(), moment, state, location: None };
@@ -214,8 +221,9 @@
         let name = CompactString::from(from);
         let Some(record) = self.record(now, &name) else { return };
         if heartbeat.moment.life < record.moment.life {
-            // An older incarnation, or a restart with a clock that was set back: the reply makes
-            // the node raise its epoch, otherwise it would be ignored for good.
+            // An older incarnation, or a restart with a clock that was set back. In the latter case,
+            // the reply makes the node raise its epoch; without it, the node would be ignored
+            // permanently.
             let claim = record.claim(&name, false);
             self.send(from, PeerMessage::Claims(vec![claim]), out);
             return;
@@ -223,22 +231,22 @@
         record.last_heartbeat = Some(now);
         record.usage.clone_from(&heartbeat.usage);
         record.revision = heartbeat.revision;
-        let lost = matches!(record.state, NodeState::Unknown | NodeState::Gone);
+        let was_lost = matches!(record.state, NodeState::Unknown | NodeState::Gone);
         let (moment, state, location) =
             (heartbeat.moment, heartbeat.state, heartbeat.location.clone());
         self.merge(now, &Claim { name, moment, state, location }, Gossip::Yes, out);
-        if lost && now >= self.sync {
-            self.sync = now + SYNC_HURRY;
+        if was_lost && now >= self.sync_at {
+            self.sync_at = now + MIN_SYNC_INTERVAL;
             self.send(from, PeerMessage::MembersPull, out);
         }
-        self.newer(now, from, heartbeat.revision, out);
-        let claims = heartbeat.updates.iter().filter_map(|updates| match updates {
+        self.pull_if_newer(now, from, heartbeat.revision, out);
+        let claims = heartbeat.updates.iter().filter_map(|update| match update {
             Update::Node(claim) => Some(claim),
             Update::Runner(_) => None,
         });
-        self.check(now, from, claims, out);
-        for updates in &heartbeat.updates {
-            if let Update::Runner(hint) = updates
+        self.merge_claims(now, from, claims, out);
+        for update in &heartbeat.updates {
+            if let Update::Runner(hint) = update
                 && self.updates.hint(now, hint)
             {
                 out.push(Output::Hint(hint.clone()));
@@ -246,14 +254,14 @@
         }
     }
 
-    /// Applies the platform's list unless it is outdated. Unlisted nodes with heartbeats are kept;
-    /// listed nodes without heartbeats are not in address responses.
+    /// Applies the platform's list unless it is outdated. Unlisted nodes that send heartbeats are
+    /// kept; listed nodes that don't are not in address responses.
     pub fn apply_list(&mut self, now: Instant, list: &InstanceList) {
-        if list.revision < self.list {
+        if list.revision < self.list_revision {
             return;
         }
-        self.list = list.revision;
-        self.stale_ring = true;
+        self.list_revision = list.revision;
+        self.ring_is_stale = true;
         self.records.values_mut().for_each(|r| r.listed = false);
         for node in list.instances.iter().filter(|i| i.kind == InstanceKind::Node) {
             let Some(peer) = node.peer.clone() else { continue };
@@ -272,7 +280,7 @@
     /// Handles a failed connection to a node.
     pub fn connection_failed(&mut self, now: Instant, name: &str, out: &mut Vec<Output>) {
         let Some((name, record)) = self.records.get_key_value(name) else { return };
-        if record.running() {
+        if record.is_running() {
             self.suspect(now, &name.clone(), out);
         }
     }
@@ -287,7 +295,7 @@
     /// Marks this node as draining and announces it.
     pub fn drain(&mut self, now: Instant) {
         self.state = NodeState::Draining;
-        self.hurry(now);
+        self.schedule_early_heartbeat(now);
     }
 
     /// Announces the exit of this process.
@@ -317,9 +325,15 @@
         self.updates.hint(now, hint);
     }
 
-    fn newer(&mut self, now: Instant, from: &str, revision: Revision, out: &mut Vec<Output>) {
-        let asked = self.pull.is_some_and(|(r, at)| r >= revision && now < at + PULL_RETRY);
-        if revision > self.revision && !asked {
+    fn pull_if_newer(
+        &mut self,
+        now: Instant,
+        from: &str,
+        revision: Revision,
+        out: &mut Vec<Output>,
+    ) {
+        let is_pending = self.pull.is_some_and(|(r, at)| r >= revision && now < at + PULL_TIMEOUT);
+        if revision > self.revision && !is_pending {
             self.pull = Some((revision, now));
             self.send(from, PeerMessage::CatalogPull(self.revision), out);
         }
@@ -331,13 +345,13 @@
         }
     }
 
-    /// Address of a node.
+    /// Returns the address of a node.
     pub fn target(&self, name: &str) -> Option<Target> {
         let location = self.records.get(name)?.location.as_ref()?;
         Some(Target { name: name.into(), address: location.peer.clone() })
     }
 
-    /// Heartbeat targets of this node; all others in a full mesh.
+    /// Returns the heartbeat targets of this node; all other nodes in a full mesh.
     pub fn targets(&self) -> Vec<Target> {
         self.ring.targets.iter().filter_map(|n| self.target(n)).collect()
     }
@@ -346,6 +360,7 @@
         Moment { life: self.me.life, beat: self.beat }
     }
 
+    /// Returns the record of another node; adds it unless [`MAX_MEMBERS`] is reached.
     fn record(&mut self, now: Instant, name: &CompactString) -> Option<&mut Record> {
         if !self.records.contains_key(name) {
             if self.records.len() >= MAX_MEMBERS || *name == self.me.name {
--- a/crates/decide/src/member/drain.rs
+++ b/crates/decide/src/member/drain.rs
@@ -1,4 +1,4 @@
-//! Drain state of a node: `charts/drain.json`.
+//! Drain state machine of a node, defined by `charts/drain.json`.
 
 use {
     crate::chart::Chart,
@@ -8,7 +8,7 @@
 };
 
 static CHART: LazyLock<Chart<DrainState, DrainEvent>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../../../../charts/drain.json")).expect("charts/drain.json is whole")
+    Chart::parse(include_str!("../../../../charts/drain.json")).expect("charts/drain.json is valid")
 });
 
 /// Drain state.
@@ -16,9 +16,9 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainState {
-    /// Serving.
+    /// Not draining.
     Serving,
-    /// Not in address responses; still serves callers with older ones.
+    /// Not in new address responses; still serves callers that have older ones.
     Leaving,
     /// Rejects new requests with `not_run`; open streams continue.
     Refusing,
@@ -40,49 +40,50 @@
 pub struct Drain {
     state: DrainState,
     ttl: Duration,
-    left: Option<Instant>,
+    left_at: Option<Instant>,
 }
 
 impl Drain {
-    /// A serving node with address responses of time to live `ttl`.
+    /// Creates the state of a serving node whose address responses are valid for `ttl`.
     pub fn new(ttl: Duration) -> Drain {
-        Drain { state: CHART.initial(), ttl, left: None }
+        Drain { state: CHART.initial(), ttl, left_at: None }
     }
 
     /// Starts draining; idempotent.
     pub fn leave(&mut self, now: Instant) {
-        self.left.get_or_insert(now);
-        self.take(DrainEvent::Leave);
+        self.left_at.get_or_insert(now);
+        self.apply(DrainEvent::Leave);
     }
 
-    /// Whether new requests are accepted. They are until the last address response has expired.
+    /// Returns whether new requests are accepted. They are, until the last address response that
+    /// contains the node has expired.
     pub fn accepts(&mut self, now: Instant) -> bool {
-        if self.left.is_some_and(|left| now >= left + self.ttl) {
-            self.take(DrainEvent::Lapsed);
+        if self.left_at.is_some_and(|at| now >= at + self.ttl) {
+            self.apply(DrainEvent::Lapsed);
         }
         matches!(self.state, DrainState::Serving | DrainState::Leaving)
     }
 
-    /// Whether the node is in its own address responses.
+    /// Returns whether the node is in its own address responses.
     pub fn listed(&self) -> bool {
         self.state == DrainState::Serving
     }
 
-    /// Whether the process may exit with `open` requests and streams. There is no upper bound, so
-    /// that no stream is cut.
+    /// Returns whether the process may exit with `open` requests and streams. Draining has no time
+    /// limit, so that no stream is interrupted.
     pub fn finished(&mut self, now: Instant, open: usize) -> bool {
         if !self.accepts(now) && open == 0 {
-            self.take(DrainEvent::Idle);
+            self.apply(DrainEvent::Idle);
         }
         self.state == DrainState::Gone
     }
 
-    /// Current state.
+    /// Returns the current state.
     pub fn state(&self) -> DrainState {
         self.state
     }
 
-    fn take(&mut self, event: DrainEvent) {
+    fn apply(&mut self, event: DrainEvent) {
         if let Some(next) = CHART.next(self.state, event) {
             self.state = next;
         }
--- a/crates/decide/src/member/merge.rs
+++ b/crates/decide/src/member/merge.rs
@@ -1,4 +1,4 @@
-//! Merges claims of other nodes.
+//! Merging of claims from other nodes.
 
 use {
     super::{
@@ -17,9 +17,10 @@
 }
 
 impl Members {
-    /// Merges claims and refutes outdated ones. Heartbeats travel in one direction around the
-    /// rings, so the sender of a false suspicion would otherwise learn last.
-    pub(super) fn check<'a>(
+    /// Merges claims and sends refutations of outdated ones to `from`. Heartbeats travel in one
+    /// direction around the rings, so the sender of a false suspicion would otherwise be the last to
+    /// receive the refutation.
+    pub(super) fn merge_claims<'a>(
         &mut self,
         now: Instant,
         from: &str,
@@ -27,10 +28,10 @@
         out: &mut Vec<Output>,
     ) {
         let claims = claims.into_iter();
-        let answer: Vec<Claim> =
+        let refutations: Vec<Claim> =
             claims.filter_map(|c| self.merge(now, c, Gossip::Yes, out)).collect();
-        if !answer.is_empty() {
-            self.send(from, PeerMessage::Claims(answer), out);
+        if !refutations.is_empty() {
+            self.send(from, PeerMessage::Claims(refutations), out);
         }
     }
 
@@ -46,37 +47,37 @@
             return self.merge_self(now, claim);
         }
         let record = self.record(now, &claim.name)?;
-        let (from, counted) = (record.state, record.counts());
-        let learned = record.merge(now, claim.moment, claim.state);
-        if learned != Merged::Outdated && claim.location.is_some() {
+        let (from, was_in_topology) = (record.state, record.is_in_topology());
+        let merged = record.merge(now, claim.moment, claim.state);
+        if merged != Merged::Outdated && claim.location.is_some() {
             record.location.clone_from(&claim.location);
         }
-        let (to, counts) = (record.state, record.counts());
-        // The platform's list may not name the node to the receivers.
+        let (to, is_in_topology) = (record.state, record.is_in_topology());
+        // The receivers may not find the node's addresses in the platform's list.
         let is_new = matches!(from, NodeState::Unknown | NodeState::Gone | NodeState::Forgotten);
-        let held = record.claim(&claim.name, is_new || !record.listed);
-        self.stale_ring |= counted != counts;
+        let current = record.claim(&claim.name, is_new || !record.listed);
+        self.ring_is_stale |= was_in_topology != is_in_topology;
         if to == NodeState::Suspect {
-            self.sweep = self.sweep.min(now + CONFIRM);
+            self.sweep_at = self.sweep_at.min(now + CONFIRM);
         }
         if from != to {
             out.push(Output::Changed { name: claim.name.clone(), from, to });
         }
-        if (learned, gossip) == (Merged::Changed, Gossip::Yes) {
-            self.updates.push(Update::Node(held.clone()));
+        if (merged, gossip) == (Merged::Changed, Gossip::Yes) {
+            self.updates.push(Update::Node(current.clone()));
         }
-        (learned == Merged::Outdated).then_some(held)
+        (merged == Merged::Outdated).then_some(current)
     }
 
     /// Refutes claims that this node is dead or has a newer incarnation.
     fn merge_self(&mut self, now: Instant, claim: &Claim) -> Option<Claim> {
-        let newer = claim.moment.life > self.me.life;
-        if newer {
+        let is_newer = claim.moment.life > self.me.life;
+        if is_newer {
             self.me.life.epoch = claim.moment.life.epoch.saturating_add(1);
         }
-        let doubted = claim.moment.life == self.me.life
+        let is_suspicion = claim.moment.life == self.me.life
             && matches!(claim.state, NodeState::Suspect | NodeState::Gone);
-        if !newer && !doubted {
+        if !is_newer && !is_suspicion {
             return None;
         }
         if claim.moment.life == self.me.life {
@@ -85,9 +86,9 @@
         self.beat += 1;
         let (name, moment) = (self.me.name.clone(), self.moment());
         let location = Some(self.me.location.clone());
-        let held = Claim { name, moment, state: self.state, location };
-        self.updates.push(Update::Node(held.clone()));
-        self.hurry(now);
-        Some(held)
+        let refutation = Claim { name, moment, state: self.state, location };
+        self.updates.push(Update::Node(refutation.clone()));
+        self.schedule_early_heartbeat(now);
+        Some(refutation)
     }
 }
--- a/crates/decide/src/member/message.rs
+++ b/crates/decide/src/member/message.rs
@@ -40,7 +40,7 @@
     Table(TableUpdate),
     /// Requests a whole table; answered with [`PeerMessage::Table`].
     TablePull(TableId),
-    /// What a reader of the store has.
+    /// State of a reader of the store.
     StoreReport(StoreReport),
 }
 
@@ -69,7 +69,7 @@
     pub table: TableId,
     /// Revision of the store up to which the sender has read the table.
     pub revision: u64,
-    /// Whether these are all rows.
+    /// Whether `rows` contains all rows of the table.
     pub whole: bool,
     /// Milliseconds for which a removed row may still return, after an outage of the store; 0 if none.
     pub grace_ms: u32,
@@ -93,9 +93,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct StoreReport {
-    /// Whether the store responds to it.
+    /// Whether the store responds to the reader.
     pub available: bool,
-    /// What it has of each table; empty before the first read.
+    /// Digest of each table as read; empty before the first read.
     pub digests: Vec<TableDigest>,
 }
 
@@ -133,21 +133,21 @@
     pub failed: Vec<CompactString>,
     /// Runners whose address belongs to another incarnation.
     pub restarts: Vec<Restart>,
-    /// Use of the sender's retry budgets.
+    /// Usage of the sender's retry budgets.
     pub budgets: Vec<BudgetUse>,
     /// Rate limits advertised by runners.
     pub limits: Vec<RateLimit>,
-    /// Runners that announced that they leave.
+    /// Runners that announced that they are shutting down.
     pub draining: Vec<DrainNotice>,
 }
 
-/// A runner's announcement that it leaves.
+/// A runner's announcement that it is shutting down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct DrainNotice {
     /// Runner id.
     pub runner: CompactString,
-    /// Start time in milliseconds since the Unix epoch; the id may be used again later.
+    /// Start time in milliseconds since the Unix epoch, because the id may be reused later.
     pub born: u64,
 }
 
@@ -157,13 +157,14 @@
 pub struct RateLimit {
     /// Runner id.
     pub runner: CompactString,
-    /// Thousandths of a request per second, of all nodes together; `None` for no limit any more.
+    /// Limit for all nodes together, in thousandths of a request per second; `None` if the limit was
+    /// lifted.
     pub limit: Option<u32>,
-    /// Age of the response that carried it, in milliseconds; the newest one counts.
+    /// Age of the response that carried it, in milliseconds; the newest one is applied.
     pub age_ms: u32,
 }
 
-/// Use of a retry budget by one node within the budget's window.
+/// Usage of a retry budget by one node within the budget's window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct BudgetUse {
@@ -181,12 +182,12 @@
 pub struct Restart {
     /// Former id.
     pub former: CompactString,
-    /// New id; `None` if that incarnation drains or may belong to another service.
+    /// New id; `None` if that incarnation is draining or may belong to another service.
     pub id: Option<CompactString>,
 }
 
 impl Load {
-    /// Whether the update is empty.
+    /// Returns whether the update is empty.
     pub fn is_empty(&self) -> bool {
         self.runners.is_empty()
             && self.failed.is_empty()
@@ -206,7 +207,7 @@
     pub runner: CompactString,
     /// Running requests.
     pub running: u32,
-    /// KV memory reserved by them and by replicas, in tokens.
+    /// KV memory reserved by running requests and by replicas, in tokens.
     pub memory: u32,
     /// Prompt tokens not yet prefilled.
     pub unread: u32,
@@ -235,7 +236,7 @@
     pub incarnation: Incarnation,
 }
 
-/// A point in a node's life; later claims replace earlier ones.
+/// Logical time of a claim about a node; claims with a later one replace earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 pub struct Moment {
@@ -290,7 +291,7 @@
     pub location: Option<NodeLocation>,
     /// Sender's catalogue revision; 0 for none.
     pub revision: Revision,
-    /// Sender's highest uses of limits.
+    /// Sender's highest usages of limits.
     pub usage: Vec<Usage>,
     /// Gossip.
     pub updates: Vec<Update>,
--- a/crates/decide/src/member/record.rs
+++ b/crates/decide/src/member/record.rs
@@ -1,4 +1,4 @@
-//! State of one other node: `charts/node.json`.
+//! State of another node, defined by `charts/node.json`.
 
 use {
     super::{
@@ -16,11 +16,11 @@
 };
 
 static CHART: LazyLock<Chart<NodeState, NodeEvent>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../../../../charts/node.json")).expect("charts/node.json is whole")
+    Chart::parse(include_str!("../../../../charts/node.json")).expect("charts/node.json is valid")
 });
 
-/// State before the first message.
-const NEVER: Moment =
+/// Moment before the first claim.
+const NO_CLAIM: Moment =
     Moment { life: NodeIncarnation { epoch: 0, incarnation: Incarnation(0) }, beat: 0 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -38,22 +38,22 @@
 /// Event raised by a timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Overdue {
-    /// Silent: becomes suspect, and its other watchers are asked.
+    /// Silent: it becomes suspect, and its other watchers may refute that.
     Suspect,
-    /// Not refuted: the suspicion is gossiped.
+    /// Not refuted within [`ANSWER`]: the suspicion is gossiped.
     Publish,
-    /// Not refuted: the node is dead.
+    /// Not refuted within [`CONFIRM`]: the node is considered dead.
     Gone,
-    /// Retention expired.
+    /// Retention expired: the node is removed.
     Forget,
 }
 
 /// Result of merging a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Merged {
-    /// Changed the state.
+    /// Changed the record; must be gossiped.
     Changed,
-    /// Known already.
+    /// Consistent with the record.
     Same,
     /// Outdated and contradictory.
     Outdated,
@@ -64,17 +64,17 @@
     pub(super) moment: Moment,
     pub(super) state: NodeState,
     /// Whether it was ready before it became suspect.
-    pub(super) ready: bool,
-    /// Suspected by this node; only some others were asked so far.
-    pub(super) asked: bool,
+    pub(super) was_ready: bool,
+    /// Suspected by this node; the suspicion was sent to its watchers, but not gossiped yet.
+    pub(super) awaits_refutation: bool,
     /// Start of the current state.
     pub(super) since: Instant,
     /// Time of the last newer claim.
-    pub(super) fresh: Instant,
+    pub(super) last_claim: Instant,
     /// Time of the last direct heartbeat.
     pub(super) last_heartbeat: Option<Instant>,
     /// Start of the watch; `None` if this node does not watch it.
-    pub(super) watched: Option<Instant>,
+    pub(super) watched_since: Option<Instant>,
     pub(super) location: Option<NodeLocation>,
     pub(super) usage: Vec<Usage>,
     /// Catalogue revision in its last heartbeat; 0 if none.
@@ -87,14 +87,14 @@
 impl Record {
     pub(super) fn new(now: Instant) -> Record {
         Record {
-            moment: NEVER,
+            moment: NO_CLAIM,
             state: CHART.initial(),
-            ready: false,
-            asked: false,
+            was_ready: false,
+            awaits_refutation: false,
             since: now,
-            fresh: now,
+            last_claim: now,
             last_heartbeat: None,
-            watched: None,
+            watched_since: None,
             location: None,
             usage: Vec::new(),
             revision: 0,
@@ -105,9 +105,9 @@
 
     /// Merges a claim. Claims of an older moment are ignored.
     pub(super) fn merge(&mut self, now: Instant, moment: Moment, state: NodeState) -> Merged {
-        if self.stale(now) && state == NodeState::Suspect && moment.life == self.moment.life {
+        if self.is_stale(now) && state == NodeState::Suspect && moment.life == self.moment.life {
             self.moment = self.moment.max(moment);
-            self.take(now, NodeEvent::Silent);
+            self.apply(now, NodeEvent::Silent);
             return Merged::Changed;
         }
         if (moment, state) <= (self.moment, self.state) {
@@ -115,57 +115,60 @@
             return if same { Merged::Same } else { Merged::Outdated };
         }
         let before = self.state;
-        let reborn = moment.life != self.moment.life;
-        if reborn {
+        let has_restarted = moment.life != self.moment.life;
+        if has_restarted {
             self.state = CHART.initial();
-            self.ready = false;
+            self.was_ready = false;
             self.usage.clear();
         }
         if moment > self.moment {
-            self.fresh = now;
+            self.last_claim = now;
         }
         self.moment = moment;
-        let changed = event(state).is_some_and(|e| self.take(now, e));
-        if changed || reborn || (lost(before) && lost(state)) {
-            // Gossips the newer moment: others may still hold it as alive.
+        let changed = event(state).is_some_and(|e| self.apply(now, e));
+        if changed || has_restarted || (is_lost(before) && is_lost(state)) {
+            // The newer moment is gossiped, because other nodes may still consider the node alive at
+            // that moment.
             Merged::Changed
         } else {
             Merged::Same
         }
     }
 
-    /// Whether this node was silent for so long that a suspicion of an older moment is accepted.
-    /// Otherwise two watchers with different moments would refute each other forever.
-    fn stale(&self, now: Instant) -> bool {
-        self.running() && now >= self.fresh + SILENCE
+    /// Returns whether the node was silent for so long that a suspicion of an older moment is
+    /// accepted. Otherwise two watchers with different moments would refute each other indefinitely.
+    fn is_stale(&self, now: Instant) -> bool {
+        self.is_running() && now >= self.last_claim + SILENCE
     }
 
-    /// Whether it counts as running.
-    pub(super) fn running(&self) -> bool {
+    /// Returns whether the node is considered running.
+    pub(super) fn is_running(&self) -> bool {
         matches!(self.state, NodeState::Starting | NodeState::Ready | NodeState::Draining)
     }
 
     /// Applies an event; returns whether the state changed.
-    pub(super) fn take(&mut self, now: Instant, event: NodeEvent) -> bool {
+    pub(super) fn apply(&mut self, now: Instant, event: NodeEvent) -> bool {
         let Some(next) = CHART.next(self.state, event) else { return false };
         if next != NodeState::Suspect {
-            self.ready = next == NodeState::Ready;
+            self.was_ready = next == NodeState::Ready;
         }
         self.state = next;
-        self.asked = false;
+        self.awaits_refutation = false;
         self.since = now;
         true
     }
 
-    /// Next timeout and its event.
+    /// Returns the next timeout and its event.
     pub(super) fn deadline(&self) -> Option<(Instant, Overdue)> {
         match self.state {
             NodeState::Starting | NodeState::Ready | NodeState::Draining => {
-                let watched = self.watched?;
+                let watched = self.watched_since?;
                 let last = self.last_heartbeat.unwrap_or(watched).max(watched).max(self.since);
                 Some((last + SILENCE, Overdue::Suspect))
             }
-            NodeState::Suspect if self.asked => Some((self.since + ANSWER, Overdue::Publish)),
+            NodeState::Suspect if self.awaits_refutation => {
+                Some((self.since + ANSWER, Overdue::Publish))
+            }
             NodeState::Suspect => Some((self.since + CONFIRM, Overdue::Gone)),
             NodeState::Gone if !self.listed => Some((self.since + TOMBSTONE, Overdue::Forget)),
             NodeState::Unknown | NodeState::Gone | NodeState::Forgotten => None,
@@ -173,39 +176,39 @@
     }
 
     /// Restarts the current timeout.
-    pub(super) fn forgive(&mut self, now: Instant) {
-        self.watched = self.watched.map(|_| now);
+    pub(super) fn restart_timeout(&mut self, now: Instant) {
+        self.watched_since = self.watched_since.map(|_| now);
         if self.state == NodeState::Suspect {
             self.since = now;
         }
     }
 
-    /// Whether it takes part in heartbeats.
-    pub(super) fn counts(&self) -> bool {
+    /// Returns whether the node is part of the heartbeat topology.
+    pub(super) fn is_in_topology(&self) -> bool {
         self.location.is_some() && !matches!(self.state, NodeState::Gone | NodeState::Forgotten)
     }
 
-    /// Whether it may be in address responses.
-    pub(super) fn serves(&self) -> bool {
+    /// Returns whether the node may be in address responses.
+    pub(super) fn is_serving(&self) -> bool {
         matches!(self.state, NodeState::Ready | NodeState::Suspect)
-            && self.ready
+            && self.was_ready
             && self.location.is_some()
             && !self.leaving
     }
 
-    /// Whether it was removed by a timeout while still listed.
-    pub(super) fn lost_but_listed(&self) -> bool {
+    /// Returns whether the node is considered dead but is still listed.
+    pub(super) fn is_lost_but_listed(&self) -> bool {
         self.state == NodeState::Gone && self.listed
     }
 
-    /// Claim about the node; `location` includes its addresses.
+    /// Returns a claim about the node; it includes the addresses if `location` is set.
     pub(super) fn claim(&self, name: &CompactString, location: bool) -> Claim {
         let location = self.location.clone().filter(|_| location);
         Claim { name: name.clone(), moment: self.moment, state: self.state, location }
     }
 }
 
-fn lost(state: NodeState) -> bool {
+fn is_lost(state: NodeState) -> bool {
     matches!(state, NodeState::Suspect | NodeState::Gone)
 }
 
--- a/crates/decide/src/member/ring.rs
+++ b/crates/decide/src/member/ring.rs
@@ -5,13 +5,13 @@
 };
 
 /// Maximum size of a full mesh.
-pub(super) const MESH: usize = 8;
+pub(super) const MAX_MESH: usize = 8;
 
-/// Rings over all nodes; the others are laid over each failure domain by itself, so that most
-/// heartbeats stay within it.
+/// Number of rings over all nodes. The other rings connect the nodes of one failure domain each, so
+/// that most heartbeats stay within a domain.
 const GLOBAL_RINGS: u64 = 3;
-/// Minimum size of a failure domain with rings of its own; the nodes of smaller ones share theirs.
-const DOMAIN_MIN: usize = 8;
+/// Minimum size of a failure domain with rings of its own; the nodes of smaller domains share rings.
+const MIN_RING_DOMAIN: usize = 8;
 
 /// A node and its failure domain.
 #[derive(Clone, Copy, Debug)]
@@ -36,17 +36,17 @@
 }
 
 impl Ring {
-    /// The neighbours of the node `me` in `domain`; `others` are all other nodes, each once.
+    /// Computes the neighbours of the node `me` in `domain`; `others` are all other nodes, each once.
     pub(super) fn new(me: &str, domain: &str, others: &[Neighbour<'_>]) -> Ring {
         let size = others.len() + 1;
-        if size <= MESH {
+        if size <= MAX_MESH {
             let all: Vec<CompactString> = others.iter().map(|n| n.name.clone()).collect();
             return Ring { targets: all.clone(), watched: all };
         }
         let mut sizes = FxHashMap::<&str, usize>::default();
         others.iter().for_each(|n| *sizes.entry(n.domain).or_default() += 1);
         *sizes.entry(domain).or_default() += 1;
-        let is_large = |domain: &str| sizes[domain] >= DOMAIN_MIN;
+        let is_large = |domain: &str| sizes[domain] >= MIN_RING_DOMAIN;
         let shares_rings =
             |other: &str| if is_large(domain) { other == domain } else { !is_large(other) };
         let mut ring = Ring::default();
@@ -55,19 +55,19 @@
             let ahead = |n: &&Neighbour<'_>| xxh64(n.name.as_bytes(), seed).wrapping_sub(own);
             let on_ring = |n: &&Neighbour<'_>| seed < GLOBAL_RINGS || shares_rings(n.domain);
             let nodes = || others.iter().filter(on_ring);
-            add(&mut ring.targets, nodes().min_by_key(ahead));
-            add(&mut ring.watched, nodes().min_by_key(|n| Reverse(ahead(n))));
+            push_unique(&mut ring.targets, nodes().min_by_key(ahead));
+            push_unique(&mut ring.watched, nodes().min_by_key(|n| Reverse(ahead(n))));
         }
         ring
     }
 }
 
-/// Number of rings: half of log2, plus one for a lost neighbour.
+/// Returns the number of rings: half of log2 of the size, plus one that allows for a lost neighbour.
 fn rings(size: usize) -> u64 {
     u64::from(size.next_power_of_two().ilog2()).div_ceil(2) + 1
 }
 
-fn add(names: &mut Vec<CompactString>, node: Option<&Neighbour<'_>>) {
+fn push_unique(names: &mut Vec<CompactString>, node: Option<&Neighbour<'_>>) {
     if let Some(node) = node
         && !names.contains(node.name)
     {
--- a/crates/decide/src/member/rounds.rs
+++ b/crates/decide/src/member/rounds.rs
@@ -5,7 +5,7 @@
         ANSWER, MESH_INTERVAL, Members, Output, RING_INTERVAL, SILENCE, Target,
         message::{Heartbeat, NodeState, PeerMessage, Update},
         record::{NodeEvent, Overdue, Record},
-        ring::{MESH, Neighbour, Ring},
+        ring::{MAX_MESH, Neighbour, Ring},
     },
     compact_str::CompactString,
     rand::{Rng, seq::IteratorRandom},
@@ -14,49 +14,49 @@
 };
 
 /// Gap between ticks that indicates a suspended process.
-const PAUSE: Duration = Duration::from_millis(500);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 /// Minimum heartbeat interval.
-const LEAST_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval of probes to dead nodes, which heal partitions.
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of probes of dead nodes, which allow partitions to heal.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Anti-entropy interval.
-const SYNC_INTERVAL: Duration = Duration::from_secs(60);
-/// Usage lines per heartbeat in a full mesh.
-const MESH_USAGE: usize = 64;
-/// Usage lines per heartbeat on rings.
-const RING_USAGE: usize = 4;
-/// Addresses are in the first heartbeats and in every n-th one after that.
-const PLACE_EVERY: u64 = 8;
+const MAX_SYNC_INTERVAL: Duration = Duration::from_secs(60);
+/// Maximum usage entries per heartbeat in a full mesh.
+const MESH_USAGE_LINES: usize = 64;
+/// Maximum usage entries per heartbeat on rings.
+const RING_USAGE_LINES: usize = 4;
+/// Number of initial heartbeats that include the location; after them, every n-th one does.
+const LOCATION_EVERY: u64 = 8;
 
 impl Members {
     /// Performs due work; called at least every [`crate::core::TICK`].
     pub fn tick(&mut self, now: Instant, out: &mut Vec<Output>) {
-        self.forgive_pause(now);
-        if now >= self.sweep {
+        self.discount_pause(now);
+        if now >= self.sweep_at {
             self.sweep(now, out);
         }
-        if now < self.due {
+        if now < self.heartbeat_at {
             return;
         }
-        if std::mem::take(&mut self.stale_ring) {
-            self.renew_ring(now);
+        if std::mem::take(&mut self.ring_is_stale) {
+            self.rebuild_ring(now);
         }
         let mut to = self.targets();
         to.extend(self.probe(now, out));
         let message = PeerMessage::Heartbeat(self.heartbeat());
         out.push(Output::Send { to, message });
         self.synchronize(now, out);
-        self.beaten = now;
-        self.due = now + self.interval().mul_f64(self.rng.random_range(0.9..1.1));
+        self.last_sent = now;
+        self.heartbeat_at = now + self.interval().mul_f64(self.rng.random_range(0.9..1.1));
     }
 
     /// Discounts the time for which this process was suspended, which would otherwise look like
     /// silence of all nodes.
-    fn forgive_pause(&mut self, now: Instant) {
-        if now > self.last + PAUSE {
-            self.records.values_mut().for_each(|r| r.forgive(now));
+    fn discount_pause(&mut self, now: Instant) {
+        if now > self.last_tick + PAUSE_THRESHOLD {
+            self.records.values_mut().for_each(|r| r.restart_timeout(now));
         }
-        self.last = now;
+        self.last_tick = now;
     }
 
     /// Handles expired timeouts and computes the next one.
@@ -69,38 +69,39 @@
         for (name, overdue) in due {
             match overdue {
                 Overdue::Suspect => self.suspect(now, &name, out),
-                Overdue::Publish => self.publish(&name),
-                Overdue::Gone => self.follow(now, &name, NodeEvent::Ended, out),
+                Overdue::Publish => self.gossip_suspicion(&name),
+                Overdue::Gone => self.apply_event(now, &name, NodeEvent::Ended, out),
                 Overdue::Forget => {
-                    self.follow(now, &name, NodeEvent::Unlisted, out);
+                    self.apply_event(now, &name, NodeEvent::Unlisted, out);
                     self.records.remove(&name);
                 }
             }
         }
         let deadlines = self.records.values().filter_map(Record::deadline).map(|(at, _)| at);
-        self.sweep = deadlines.fold(now + SILENCE, Instant::min);
+        self.sweep_at = deadlines.fold(now + SILENCE, Instant::min);
     }
 
-    /// Suspects a node and asks its other watchers. The link may be broken in one direction only,
-    /// so the suspicion is gossiped after they had time to refute it.
+    /// Marks a node as suspect and notifies its other watchers. The link may have failed in one
+    /// direction only, so the suspicion is gossiped only after the watchers had time to refute it.
     pub(super) fn suspect(&mut self, now: Instant, name: &CompactString, out: &mut Vec<Output>) {
-        self.follow(now, name, NodeEvent::Silent, out);
+        self.apply_event(now, name, NodeEvent::Silent, out);
         let to = self.watchers(name);
         let Some(record) = self.records.get_mut(name) else { return };
-        record.asked = true;
-        self.sweep = self.sweep.min(now + ANSWER);
+        record.awaits_refutation = true;
+        self.sweep_at = self.sweep_at.min(now + ANSWER);
         let message = PeerMessage::Claims(vec![record.claim(name, false)]);
         out.push(Output::Send { to, message });
     }
 
-    fn publish(&mut self, name: &CompactString) {
+    fn gossip_suspicion(&mut self, name: &CompactString) {
         if let Some(record) = self.records.get_mut(name) {
-            record.asked = false;
+            record.awaits_refutation = false;
             self.updates.push(Update::Node(record.claim(name, false)));
         }
     }
 
-    fn follow(
+    /// Applies an event to a node's record and reports a change of its state.
+    fn apply_event(
         &mut self,
         now: Instant,
         name: &CompactString,
@@ -108,14 +109,14 @@
         out: &mut Vec<Output>,
     ) {
         let Some(record) = self.records.get_mut(name) else { return };
-        let (from, counted) = (record.state, record.counts());
-        if record.take(now, event) {
+        let (from, was_in_topology) = (record.state, record.is_in_topology());
+        if record.apply(now, event) {
             out.push(Output::Changed { name: name.clone(), from, to: record.state });
         }
-        self.stale_ring |= counted != record.counts();
+        self.ring_is_stale |= was_in_topology != record.is_in_topology();
     }
 
-    /// Nodes that should receive heartbeats of `name`.
+    /// Returns the nodes that should receive heartbeats of `name`.
     fn watchers(&self, name: &CompactString) -> Vec<Target> {
         let Some(location) = self.records.get(name).and_then(|r| r.location.as_ref()) else {
             return Vec::new();
@@ -128,29 +129,29 @@
     }
 
     fn neighbours(&self) -> impl Iterator<Item = Neighbour<'_>> {
-        self.records.iter().filter(|(_, r)| r.counts()).filter_map(|(name, record)| {
+        self.records.iter().filter(|(_, r)| r.is_in_topology()).filter_map(|(name, record)| {
             Some(Neighbour { name, domain: &record.location.as_ref()?.domain })
         })
     }
 
-    fn renew_ring(&mut self, now: Instant) {
+    fn rebuild_ring(&mut self, now: Instant) {
         let others: Vec<Neighbour<'_>> = self.neighbours().collect();
         let ring = Ring::new(&self.me.name, &self.me.location.domain, &others);
         for (name, record) in &mut self.records {
             let watched = ring.watched.contains(name);
-            record.watched = watched.then(|| record.watched.unwrap_or(now));
+            record.watched_since = watched.then(|| record.watched_since.unwrap_or(now));
         }
         self.ring = ring;
-        self.sweep = self.sweep.min(now + SILENCE);
+        self.sweep_at = self.sweep_at.min(now + SILENCE);
     }
 
-    /// Probes a dead node with a heartbeat and a claim; both sides of a healed partition would
-    /// otherwise consider each other dead.
+    /// Probes a random dead node with a claim, and returns it as an additional heartbeat target. The
+    /// two sides of a healed partition would otherwise continue to consider each other dead.
     fn probe(&mut self, now: Instant, out: &mut Vec<Output>) -> Option<Target> {
-        if now < self.probe {
+        if now < self.probe_at {
             return None;
         }
-        self.probe = now + PROBE_INTERVAL;
+        self.probe_at = now + PROBE_INTERVAL;
         let gone = self.records.iter().filter(|(_, r)| r.state == NodeState::Gone);
         let (name, record) = gone.choose(&mut self.rng)?;
         let message = PeerMessage::Claims(vec![record.claim(name, false)]);
@@ -158,42 +159,43 @@
         self.target(name)
     }
 
+    /// Requests another node's membership table, if due.
     fn synchronize(&mut self, now: Instant, out: &mut Vec<Output>) {
-        if now < self.sync {
+        if now < self.sync_at {
             return;
         }
-        // Jitter, so that nodes started together spread out.
-        self.sync = now + self.pace.mul_f64(self.rng.random_range(0.75..1.25));
-        self.pace = (self.pace * 2).min(SYNC_INTERVAL);
+        // Jitter spreads the exchanges of nodes that were started together.
+        self.sync_at = now + self.sync_interval.mul_f64(self.rng.random_range(0.75..1.25));
+        self.sync_interval = (self.sync_interval * 2).min(MAX_SYNC_INTERVAL);
         if let Some(name) = self.ring.targets.iter().choose(&mut self.rng).cloned() {
             self.send(&name, PeerMessage::MembersPull, out);
         }
     }
 
     /// Schedules the next heartbeat early.
-    pub(super) fn hurry(&mut self, now: Instant) {
-        self.due = self.due.min(now.max(self.beaten + LEAST_INTERVAL));
+    pub(super) fn schedule_early_heartbeat(&mut self, now: Instant) {
+        self.heartbeat_at = self.heartbeat_at.min(now.max(self.last_sent + MIN_INTERVAL));
     }
 
     fn heartbeat(&mut self) -> Heartbeat {
         self.beat += 1;
-        let placed = self.beat <= PLACE_EVERY || self.beat.is_multiple_of(PLACE_EVERY);
-        let lines = if self.mesh() { MESH_USAGE } else { RING_USAGE };
+        let with_location = self.beat <= LOCATION_EVERY || self.beat.is_multiple_of(LOCATION_EVERY);
+        let lines = if self.is_mesh() { MESH_USAGE_LINES } else { RING_USAGE_LINES };
         Heartbeat {
             moment: self.moment(),
             state: self.state,
-            location: placed.then(|| self.me.location.clone()),
+            location: with_location.then(|| self.me.location.clone()),
             revision: self.revision,
             usage: self.usage.iter().take(lines).cloned().collect(),
             updates: self.updates.next(self.ring.targets.len()),
         }
     }
 
-    fn mesh(&self) -> bool {
-        self.ring.targets.len() < MESH && self.ring.targets.len() + 1 >= self.counting()
+    fn is_mesh(&self) -> bool {
+        self.ring.targets.len() < MAX_MESH && self.ring.targets.len() + 1 >= self.topology_size()
     }
 
     fn interval(&self) -> Duration {
-        if self.mesh() { MESH_INTERVAL } else { RING_INTERVAL }
+        if self.is_mesh() { MESH_INTERVAL } else { RING_INTERVAL }
     }
 }
--- a/crates/decide/src/member/table.rs
+++ b/crates/decide/src/member/table.rs
@@ -39,20 +39,21 @@
 /// Usage of limits by the other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerUsage {
-    /// Other ready nodes. Silent ones that are still listed count too: they may serve on the other
-    /// side of a partition.
+    /// Number of other ready nodes. Silent nodes that are still listed are included, as they may
+    /// serve on the other side of a partition.
     pub nodes: u32,
-    /// Requests running on them, extrapolated if only some send heartbeats here.
+    /// Requests running on them, extrapolated if this node receives heartbeats from some only.
     pub running: Vec<Usage>,
 }
 
 impl Members {
-    /// Addresses of ready nodes, own failure domain first, shuffled per node.
+    /// Returns the addresses of ready nodes: own failure domain first, in an order that depends on
+    /// this node's name.
     pub fn addresses(&self) -> Vec<Address> {
         let own = &self.me.location.domain;
         let seed = xxh64(self.me.name.as_bytes(), 0);
         let me = (self.state == NodeState::Ready).then_some((&self.me.name, &self.me.location));
-        let others = self.records.iter().filter(|(_, r)| r.serves());
+        let others = self.records.iter().filter(|(_, r)| r.is_serving());
         let others = others.filter_map(|(n, r)| Some((n, r.location.as_ref()?)));
         let mut nodes: Vec<_> = me.into_iter().chain(others).collect();
         nodes.sort_by_cached_key(|(n, p)| (p.domain != *own, xxh64(n.as_bytes(), seed)));
@@ -61,14 +62,14 @@
         nodes.into_iter().map(|(_, p)| address(p)).collect()
     }
 
-    /// Usage of limits by the other nodes.
+    /// Returns the usage of limits by the other nodes.
     pub fn usage(&self, now: Instant) -> PeerUsage {
-        let nodes = self.records.values().filter(|r| r.serves() || r.lost_but_listed()).count();
-        let last_heartbeat =
-            |r: &&super::Record| r.last_heartbeat.is_some_and(|h| now < h + SILENCE);
+        let nodes =
+            self.records.values().filter(|r| r.is_serving() || r.is_lost_but_listed()).count();
+        let is_heard = |r: &&super::Record| r.last_heartbeat.is_some_and(|h| now < h + SILENCE);
         let mut sums = BTreeMap::<(&str, &str), u64>::new();
         let mut count = 0;
-        for record in self.records.values().filter(last_heartbeat) {
+        for record in self.records.values().filter(is_heard) {
             count += 1;
             for line in &record.usage {
                 *sums.entry((&line.entry, &line.account)).or_default() += u64::from(line.running);
@@ -83,17 +84,17 @@
         PeerUsage { nodes: nodes as u32, running: sums.into_iter().map(line).collect() }
     }
 
-    /// Current catalogue revision.
+    /// Returns the current catalogue revision.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// States of all other nodes.
+    /// Returns the states of all other nodes.
     pub fn states(&self) -> impl Iterator<Item = (&CompactString, NodeState)> {
         self.records.iter().map(|(n, r)| (n, r.state))
     }
 
-    /// All other nodes.
+    /// Returns all other nodes.
     pub fn nodes(&self) -> impl Iterator<Item = Node> {
         self.records.iter().map(|(name, r)| Node {
             name: name.clone(),
@@ -104,7 +105,7 @@
         })
     }
 
-    /// All claims, for anti-entropy.
+    /// Returns claims about all known nodes, including this one, for anti-entropy.
     pub(super) fn claims(&self) -> Vec<Claim> {
         let known = self.records.iter().filter(|(_, r)| r.state != NodeState::Unknown);
         let others = known.map(|(name, r)| r.claim(name, true));
@@ -114,8 +115,8 @@
         others.chain([me]).collect()
     }
 
-    /// Number of running nodes, this one included.
-    pub(super) fn counting(&self) -> usize {
-        1 + self.records.values().filter(|r| r.counts()).count()
+    /// Returns the number of nodes in the heartbeat topology, including this one.
+    pub(super) fn topology_size(&self) -> usize {
+        1 + self.records.values().filter(|r| r.is_in_topology()).count()
     }
 }
--- a/crates/decide/src/member/updates.rs
+++ b/crates/decide/src/member/updates.rs
@@ -11,9 +11,10 @@
 pub(super) const PER_HEARTBEAT: usize = 32;
 /// Transmissions of each update to every target.
 const REPEATS: u8 = 3;
-/// Targets from which one transmission is enough: every node then gets an update from as many.
+/// Number of targets from which one transmission suffices, because each node then receives every
+/// update from as many senders.
 const REDUNDANT: usize = 4;
-/// Capacity; the oldest update is dropped and left to anti-entropy.
+/// Capacity of the queue. The oldest update is dropped; anti-entropy spreads it later.
 const CAPACITY: usize = 512;
 /// Time for which a repeated hint is suppressed.
 const HINT_AGE: Duration = Duration::from_secs(5);
@@ -21,7 +22,7 @@
 /// Pending updates, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpdateQueue {
-    /// With the number of transmissions.
+    /// Updates and their number of transmissions so far.
     items: VecDeque<(Update, u8)>,
     hints: VecDeque<(Hint, Instant)>,
 }
@@ -47,7 +48,7 @@
         true
     }
 
-    /// Updates for the next heartbeat to this number of targets, least transmitted first.
+    /// Returns the updates for the next heartbeat to this number of targets, least transmitted first.
     pub(super) fn next(&mut self, targets: usize) -> Vec<Update> {
         let repeats = if targets < REDUNDANT { REPEATS } else { 1 };
         self.items.make_contiguous().sort_by_key(|(_, sent)| *sent);
