--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// Prints the growth of the resident memory by a core of the design's size. It comes first, as later
-/// cores reuse what earlier ones have freed.
+/// Prints the growth of the resident memory by a core of the design's size. It comes first, as
+/// later cores reuse what earlier ones have freed.
 fn memory() {
     let list = list(4_900, 1_100);
     let before = resident();
@@ -77,7 +77,8 @@
     Row { decision, queued: cost(&mut full, nodes, true), list: again }
 }
 
-/// A core whose entries have this limit and that knows the list, and the load and caches of the runners that it watches.
+/// A core whose entries have this limit and that knows the list, and the load and caches of the
+/// runners that it watches.
 fn core(list: &InstanceList, concurrent: u32) -> Core {
     let place = Location { region: "region-0".into(), domain: "domain-0".into() };
     let mut core = Core::new(1, place);
--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -1,4 +1,4 @@
-//! What the core wants done.
+//! Output actions of the core.
 
 use {
     crate::id::{RunnerKey, Ticket},
@@ -6,54 +6,54 @@
     std::time::Duration,
 };
 
-/// Something to be done, in the order given.
+/// An action to execute. Actions must be executed in the order returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the request to this runner.
+    /// Send the request to the granted runner.
     Grant(Grant),
     /// Reject the request.
     Reject(Rejection),
 }
 
-/// A runner for a request.
+/// Assignment of a runner to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The request.
     pub ticket: Ticket,
-    /// The runner chosen.
+    /// The selected runner.
     pub runner: RunnerKey,
-    /// The runner's base URL.
+    /// Base URL of the runner.
     pub url: CompactString,
-    /// Version it runs.
+    /// Version that the runner serves.
     pub version: CompactString,
 }
 
-/// No runner for a request. Nothing of it was sent for this ticket.
+/// Rejection of a request for a runner. Nothing was sent to a runner for that request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// The request.
     pub ticket: Ticket,
-    /// Why.
+    /// Reason of the rejection.
     pub reason: Reason,
-    /// When asking again may help; `None` when it won't.
+    /// Time after which a new request may succeed; `None` if retrying is useless.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a request gets no runner.
+/// Reason why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The entry is not in the catalogue in force.
+    /// The entry is not in the current catalogue.
     NoEntry,
     /// The account may not use the entry.
     NoAccess,
-    /// The account's own limit is reached.
+    /// The account has reached its concurrency limit.
     AccountLimit,
-    /// The entry's limit is reached and its queue is full.
+    /// The entry has reached its concurrency limit and its queue is full.
     EntryLimit,
-    /// It would have waited too long.
+    /// The request waited in the queue for the maximum time, or was expected to.
     WaitTooLong,
-    /// No live runner of the entry, or of the pinned version.
+    /// There is no live runner of the entry, or of the pinned version.
     NoRunner,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     NoBudget,
 }
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,110 +1,123 @@
-//! How many requests may go to another runner after one failed.
+//! Retry budget: limits how many requests may be sent to another runner after one failed.
 //!
-//! Two bounds. The budget is a bucket of retries: each success earns a fifth of one, a small flow
-//! comes by itself, and half of what runs fits in. So the loss of a whole domain is covered by a
-//! full bucket, while a version that fails every request drains it once and then gets the small
-//! flow: retries can't multiply the load. The pace spreads what the budget allows over about a
-//! second, so that load reports keep up and the survivors aren't hit by all resumes at once.
+//! There are two limits. The budget is a token bucket: each success adds a fifth of a retry, a low
+//! rate is added over time, and the capacity is half the number of running requests plus a minimum.
+//! A full bucket covers the loss of a whole failure domain, while a version that fails every
+//! request empties it once and then gets the low rate only, so that retries can't multiply the
+//! load. The pace, a second bucket, spreads the retries allowed by the budget over about a second,
+//! so that load reports keep up and the remaining runners don't receive all retries and resumes at
+//! once.
 
 use {std::time::Duration, tokio::time::Instant};
 
-/// Retries earned by one success.
-const EARNED: f64 = 0.2;
-/// Retries that fit into the bucket when nothing runs.
-const FLOOR: f64 = 10.0;
-/// Retries that fit in besides, for each request running.
-const COVER: f64 = 0.5;
-/// Time in which the flow alone fills the bucket, in seconds.
-const FILL: f64 = 60.0;
-/// Least flow, in retries per second.
-const FLOW: f64 = 1.0;
-/// Time over which a full bucket is let out, in seconds.
-const SPREAD: f64 = 1.0;
-/// Part of a full bucket that may go at once.
-const BURST: f64 = 0.25;
-/// Factor on what is earned and flows in under overload.
-const SHRINK: f64 = 0.5;
+/// Retries added to the budget per successful request.
+const RETRIES_PER_SUCCESS: f64 = 0.2;
+/// Capacity of the budget without running requests, in retries.
+const MIN_CAPACITY: f64 = 10.0;
+/// Additional capacity per running request, in retries.
+const CAPACITY_PER_RUNNING: f64 = 0.5;
+/// Time in which the refill rate alone fills the budget.
+const FILL_SECS: f64 = 60.0;
+/// Minimum refill rate.
+const MIN_RETRIES_PER_SEC: f64 = 1.0;
+/// Time over which the pace spreads a full budget.
+const PACE_SECS: f64 = 1.0;
+/// Fraction of a full budget that may be sent in one burst.
+const BURST_RATIO: f64 = 0.25;
+/// Factor applied to the refill rate and to the retries per success under overload.
+const OVERLOAD_FACTOR: f64 = 0.5;
 
 /// Retry budget of one entry at this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Budget {
-    tokens: f64,
-    pace: f64,
-    size: f64,
-    overload: bool,
-    at: Option<Instant>,
+    retries: f64,
+    pace_tokens: f64,
+    /// Capacity for `retries`.
+    capacity: f64,
+    is_overloaded: bool,
+    refilled_at: Option<Instant>,
 }
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { tokens: FLOOR, pace: FLOOR * BURST, size: FLOOR, overload: false, at: None }
+        Budget {
+            retries: MIN_CAPACITY,
+            pace_tokens: MIN_CAPACITY * BURST_RATIO,
+            capacity: MIN_CAPACITY,
+            is_overloaded: false,
+            refilled_at: None,
+        }
     }
 }
 
 impl Budget {
-    /// Lets time pass. `running` counts the requests admitted at this node.
-    pub(crate) fn renew(&mut self, now: Instant, running: u32, overload: bool) {
-        let passed = self.at.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
-        let size = FLOOR + COVER * f64::from(running);
-        // The bucket grows with what runs, filled as far as it was.
-        self.tokens = self.tokens * size / self.size;
-        (self.at, self.size, self.overload) = (Some(now), size, overload);
-        self.tokens = (self.tokens + passed * self.flow()).min(size);
-        self.pace = (self.pace + passed * self.rate()).min(self.burst());
+    /// Refills both buckets for the time since the last call. `running` is the number of requests
+    /// admitted at this node.
+    pub(crate) fn refill(&mut self, now: Instant, running: u32, is_overloaded: bool) {
+        let elapsed_secs = self.refilled_at.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+        let capacity = MIN_CAPACITY + CAPACITY_PER_RUNNING * f64::from(running);
+        // The capacity follows the number of running requests; the fill ratio is kept.
+        self.retries = self.retries * capacity / self.capacity;
+        (self.refilled_at, self.capacity, self.is_overloaded) =
+            (Some(now), capacity, is_overloaded);
+        self.retries = (self.retries + elapsed_secs * self.refill_rate()).min(capacity);
+        self.pace_tokens =
+            (self.pace_tokens + elapsed_secs * self.pace_rate()).min(self.pace_capacity());
     }
 
-    /// A request was answered in whole.
-    pub(crate) fn earn(&mut self) {
-        self.tokens = (self.tokens + EARNED * self.shrink()).min(self.size);
+    /// Adds the retries earned by a successful request.
+    pub(crate) fn record_success(&mut self) {
+        self.retries =
+            (self.retries + RETRIES_PER_SUCCESS * self.overload_factor()).min(self.capacity);
     }
 
-    /// Whether a retry may go now.
-    pub(crate) fn ready(&self) -> bool {
-        self.funded() && self.paced()
+    /// Returns whether both budget and pace allow a retry now.
+    pub(crate) fn can_retry(&self) -> bool {
+        self.has_budget() && self.is_within_pace()
     }
 
-    /// Whether the budget, without the pace, lets one go now.
-    pub(crate) fn funded(&self) -> bool {
-        self.tokens >= 1.0
+    /// Returns whether the budget alone allows a retry now.
+    pub(crate) fn has_budget(&self) -> bool {
+        self.retries >= 1.0
     }
 
-    /// Whether the pace, without the budget, lets one go now.
-    pub(crate) fn paced(&self) -> bool {
-        self.pace >= 1.0
+    /// Returns whether the pace alone allows a request now.
+    pub(crate) fn is_within_pace(&self) -> bool {
+        self.pace_tokens >= 1.0
     }
 
-    /// A retry goes.
-    pub(crate) fn spend(&mut self) {
-        self.tokens -= 1.0;
-        self.step();
+    /// Records a retry in budget and pace.
+    pub(crate) fn consume_retry(&mut self) {
+        self.retries -= 1.0;
+        self.consume_pace();
     }
 
-    /// Something that only the pace bounds goes.
-    pub(crate) fn step(&mut self) {
-        self.pace -= 1.0;
+    /// Records a request that is limited by the pace only.
+    pub(crate) fn consume_pace(&mut self) {
+        self.pace_tokens -= 1.0;
     }
 
-    /// Expected wait of a retry that has `ahead` others before it.
-    pub(crate) fn wait(&self, ahead: usize) -> Duration {
-        let wanted = ahead as f64 + 1.0;
-        let paced = (wanted - self.pace) / self.rate();
-        let funded = (wanted - self.tokens) / self.flow();
-        Duration::from_secs_f64(paced.max(funded).max(0.0))
+    /// Returns the expected wait of a retry behind `ahead` others.
+    pub(crate) fn expected_wait(&self, ahead: usize) -> Duration {
+        let needed = ahead as f64 + 1.0;
+        let pace_secs = (needed - self.pace_tokens) / self.pace_rate();
+        let budget_secs = (needed - self.retries) / self.refill_rate();
+        Duration::from_secs_f64(pace_secs.max(budget_secs).max(0.0))
     }
 
-    fn flow(&self) -> f64 {
-        (self.size / FILL).max(FLOW) * self.shrink()
+    fn refill_rate(&self) -> f64 {
+        (self.capacity / FILL_SECS).max(MIN_RETRIES_PER_SEC) * self.overload_factor()
     }
 
-    fn rate(&self) -> f64 {
-        self.size / SPREAD
+    fn pace_rate(&self) -> f64 {
+        self.capacity / PACE_SECS
     }
 
-    fn burst(&self) -> f64 {
-        (self.size * BURST).max(1.0)
+    fn pace_capacity(&self) -> f64 {
+        (self.capacity * BURST_RATIO).max(1.0)
     }
 
-    fn shrink(&self) -> f64 {
-        if self.overload { SHRINK } else { 1.0 }
+    fn overload_factor(&self) -> f64 {
+        if self.is_overloaded { OVERLOAD_FACTOR } else { 1.0 }
     }
 }
--- a/crates/decide/src/cache.rs
+++ b/crates/decide/src/cache.rs
@@ -1,21 +1,22 @@
-//! Which runners are believed to hold which prompt prefix. Hints only: a wrong one costs a prefill.
+//! Prompt prefixes that runners are assumed to have cached. These are hints: a wrong one costs a
+//! prefill.
 
 use {
     crate::id::RunnerKey, bilberryfront_wire::runner::CacheEvent, rustc_hash::FxHashMap,
     slotmap::Key, std::collections::VecDeque,
 };
 
-/// Most holders remembered for one prefix.
-const HOLDERS: usize = 3;
+/// Maximum number of holders stored per prefix.
+const MAX_HOLDERS: usize = 3;
 
-/// Holders of each prefix, among the runners of one pool.
+/// Runners of one pool that hold each prefix.
 #[derive(Debug, Default)]
-pub(crate) struct Holders {
-    prefixes: FxHashMap<u64, [RunnerKey; HOLDERS]>,
+pub(crate) struct PrefixHolders {
+    prefixes: FxHashMap<u64, [RunnerKey; MAX_HOLDERS]>,
 }
 
-impl Holders {
-    /// Runners believed to hold `prefix`.
+impl PrefixHolders {
+    /// Returns the runners assumed to hold `prefix`.
     pub(crate) fn of(&self, prefix: u64) -> impl Iterator<Item = RunnerKey> {
         let holders = self.prefixes.get(&prefix).copied().unwrap_or_default();
         holders.into_iter().filter(|k| !k.is_null())
@@ -30,7 +31,7 @@
             Some(slot) => *slot = runner,
             None => {
                 holders.rotate_left(1);
-                holders[HOLDERS - 1] = runner;
+                holders[MAX_HOLDERS - 1] = runner;
             }
         }
     }
@@ -46,56 +47,63 @@
     }
 }
 
-/// What is believed of one runner's cache.
+/// Prefixes that one runner is assumed to have cached.
 #[derive(Debug, Default)]
-pub(crate) struct Belief {
-    /// Number of the newest event taken.
-    last: Option<u64>,
-    /// Prefixes in order of arrival.
+pub(crate) struct CachedPrefixes {
+    /// Sequence number of the newest event applied.
+    last_sequence: Option<u64>,
+    /// Prefixes in the order in which they were reported.
     order: VecDeque<u64>,
 }
 
-impl Belief {
-    /// Takes the cache events of one report, keeping at most `most` prefixes.
+impl CachedPrefixes {
+    /// Applies the cache events of one report, keeping at most `max_prefixes` prefixes.
     ///
-    /// After a gap a dropped prefix may have gone unheard, and the node would send to a runner that
-    /// must prefill from nothing; so everything believed before a gap is dropped.
-    pub(crate) fn take(
+    /// A gap in the sequence numbers may hide the eviction of a prefix, after which requests would
+    /// be sent to a runner that has to prefill them completely. All prefixes reported before a gap
+    /// are therefore dropped.
+    pub(crate) fn apply_events(
         &mut self,
         runner: RunnerKey,
         events: &[CacheEvent],
-        most: usize,
-        holders: &mut Holders,
+        max_prefixes: usize,
+        holders: &mut PrefixHolders,
     ) {
-        let restarted = |last| events.last().is_some_and(|e| e.sequence < last);
-        if self.last.is_some_and(restarted) {
+        let is_restart = |last| events.last().is_some_and(|e| e.sequence < last);
+        if self.last_sequence.is_some_and(is_restart) {
             self.clear(runner, holders);
         }
         for event in events {
-            match self.last {
+            match self.last_sequence {
                 Some(last) if event.sequence <= last => continue,
                 Some(last) if event.sequence > last + 1 => self.clear(runner, holders),
                 _ => {}
             }
-            self.last = Some(event.sequence);
+            self.last_sequence = Some(event.sequence);
             if event.held {
-                self.add(runner, event.prefix, most, holders);
+                self.add(runner, event.prefix, max_prefixes, holders);
             } else {
                 holders.remove(event.prefix, runner);
             }
         }
     }
 
-    /// Drops everything believed.
-    pub(crate) fn clear(&mut self, runner: RunnerKey, holders: &mut Holders) {
+    /// Drops all prefixes of the runner.
+    pub(crate) fn clear(&mut self, runner: RunnerKey, holders: &mut PrefixHolders) {
         for prefix in self.order.drain(..) {
             holders.remove(prefix, runner);
         }
-        self.last = None;
+        self.last_sequence = None;
     }
 
-    fn add(&mut self, runner: RunnerKey, prefix: u64, most: usize, holders: &mut Holders) {
-        while self.order.len() >= most {
+    fn add(
+        &mut self,
+        runner: RunnerKey,
+        prefix: u64,
+        max_prefixes: usize,
+        holders: &mut PrefixHolders,
+    ) {
+        while self.order.len() >= max_prefixes {
             let Some(oldest) = self.order.pop_front() else { break };
             holders.remove(oldest, runner);
         }
--- a/crates/decide/src/catalog.rs
+++ b/crates/decide/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalogue: what operators say is to be served.
+//! Catalogue of the entries to serve and the accounts that may use them, as written by operators.
 
 pub mod check;
 
@@ -12,14 +12,14 @@
     slotmap::SlotMap,
 };
 
-/// The catalogue as operators write it, before its names are resolved to keys.
+/// Catalogue document as written by operators, with unresolved names.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CatalogDoc {
-    /// Who may call.
+    /// Client accounts.
     pub accounts: Vec<Account>,
-    /// What is served.
+    /// Served entries.
     pub entries: Vec<Entry>,
 }
 
@@ -30,76 +30,76 @@
 pub struct Account {
     /// Unique name.
     pub name: CompactString,
-    /// Lower-case hex SHA-256 digests of the account's keys; two while a key is being changed.
+    /// Lower-case hex SHA-256 digests of the account's keys; two during a key rotation.
     pub keys: Vec<CompactString>,
 }
 
-/// One thing served.
+/// A served model or service.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Unique name, `model` in completions and a path segment for services.
+    /// Unique name: the `model` of completions, and a path segment for services.
     pub name: CompactString,
-    /// Team that answers for it.
+    /// Team responsible for the entry.
     pub owner: CompactString,
-    /// How urgent its requests are.
+    /// Urgency of its requests.
     pub class: Class,
-    /// What its runners are.
+    /// Kind of its runners.
     pub kind: Kind,
-    /// Versions that may be served.
+    /// Versions that may be served at all.
     pub versions: Vec<CompactString>,
-    /// The version that gets all traffic while no move is under way; one of `versions`.
+    /// Version that receives all traffic while no move is in progress; one of `versions`.
     pub version: CompactString,
-    /// Bounds on what one request and all requests may use.
+    /// Limits of single requests and of all requests together.
     #[serde(default)]
     pub limits: Limits,
-    /// Accounts that may use the entry, each with its own bound.
+    /// Accounts that may use the entry, each with its own limit.
     pub accounts: Vec<Access>,
 }
 
-/// How urgent an entry's requests are.
+/// Urgency of an entry's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// A person waits for it.
+    /// A person waits for the response.
     Interactive,
-    /// May be late.
+    /// The response may be delayed.
     Batch,
 }
 
-/// What runs an entry.
+/// Kind of the runners of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Model engines, reached by `/v1/completions`.
+    /// Model engines, served at `/v1/completions`.
     Engine,
-    /// Plain services, reached by `/v1/services/ENTRY/PATH`.
+    /// Plain services, served at `/v1/services/ENTRY/PATH`.
     Service,
 }
 
-/// Bounds of an entry. Counts are for the whole system, not a node.
+/// Limits of an entry. Concurrency limits apply to all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Most tokens of one answer.
+    /// Maximum number of tokens per answer.
     pub max_tokens: u32,
-    /// Most bytes of one request's body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u32,
-    /// Most requests running at once.
+    /// Maximum number of concurrent requests.
     pub concurrent: u32,
-    /// Most requests waiting at one node.
+    /// Maximum number of requests queued at one node.
     pub queue: u32,
-    /// Longest wait for a runner, in milliseconds; past it the request is refused.
+    /// Maximum wait for a runner in milliseconds, after which the request is rejected.
     pub wait_ms: u32,
-    /// Longest wait for the first token of a runner, in milliseconds, before another is asked.
+    /// Maximum wait for a runner's first token in milliseconds, before another runner is tried.
     pub first_ms: u32,
-    /// Longest silence of a running generation, in milliseconds, before it moves to another runner.
+    /// Maximum pause between tokens in milliseconds, before the generation moves to another runner.
     pub stall_ms: u32,
-    /// Longest call of a plain service, in milliseconds, whatever number of runners is tried.
+    /// Maximum duration of a call of a plain service in milliseconds, over all runners tried.
     pub call_ms: u32,
 }
 
@@ -125,14 +125,14 @@
 pub struct Access {
     /// Name of the account.
     pub account: CompactString,
-    /// Most requests of the account running at once in the whole system.
+    /// Maximum number of concurrent requests of the account at all nodes together.
     pub concurrent: u32,
 }
 
-/// A catalogue in force: its names resolved to keys that stay the same over revisions.
+/// Catalogue with its names resolved to keys that are stable across revisions.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// Its number.
+    /// Revision of the catalogue.
     pub revision: Revision,
     /// Entries.
     pub entries: SlotMap<EntryKey, Entry>,
@@ -144,7 +144,7 @@
 }
 
 impl Catalog {
-    /// Makes the next catalogue from `doc`; names that stay keep their keys.
+    /// Returns the next catalogue, made from `doc`; existing names keep their keys.
     pub fn updated(&self, revision: Revision, doc: &CatalogDoc) -> Catalog {
         let mut next = Catalog { revision, ..self.clone() };
         let entries: FxHashSet<_> = doc.entries.iter().map(|e| &e.name).collect();
@@ -167,28 +167,28 @@
         next
     }
 
-    /// Finds an entry by name.
+    /// Returns the entry with this name.
     pub fn entry(&self, name: &str) -> Option<EntryKey> {
         self.entry_names.get(name).copied()
     }
 
-    /// Finds an account by name.
+    /// Returns the account with this name.
     pub fn account(&self, name: &str) -> Option<AccountKey> {
         self.account_names.get(name).copied()
     }
 
-    /// Finds the account that has a key with this digest.
+    /// Returns the account that has a key with this digest.
     pub fn account_by_key(&self, digest: &str) -> Option<AccountKey> {
         self.digests.get(digest).copied()
     }
 
-    /// The account's access to the entry, if it has any.
+    /// Returns the account's access to the entry, if any.
     pub fn access(&self, entry: EntryKey, account: AccountKey) -> Option<&Access> {
         let name = &self.accounts.get(account)?.name;
         self.entries.get(entry)?.accounts.iter().find(|a| a.account == *name)
     }
 
-    /// The catalogue in the form that operators write.
+    /// Returns the catalogue as a document.
     pub fn doc(&self) -> CatalogDoc {
         CatalogDoc {
             accounts: self.accounts.values().cloned().collect(),
--- a/crates/decide/src/catalog/check.rs
+++ b/crates/decide/src/catalog/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a catalogue that its types can't make.
+//! Validation of a catalogue beyond what its types guarantee.
 
 use {
     super::{CatalogDoc, Entry, Limits},
@@ -7,20 +7,20 @@
     std::fmt,
 };
 
-/// Most accounts of a catalogue; each node holds them all in memory.
+/// Maximum number of accounts; each node holds all of them in memory.
 pub const MAX_ACCOUNTS: usize = 10_000;
-/// Most entries of a catalogue.
+/// Maximum number of entries.
 pub const MAX_ENTRIES: usize = 1_000;
-/// Most versions of an entry: the old, the new and a few before.
+/// Maximum number of versions per entry: the old one, the new one and a few earlier ones.
 pub const MAX_VERSIONS: usize = 16;
-/// Most keys of an account: one, or two while it is being changed.
+/// Maximum number of keys per account: one, or two during a key rotation.
 pub const MAX_KEYS: usize = 2;
-/// Longest name, in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME: usize = 64;
 /// Length of a SHA-256 digest in hex digits.
 const DIGEST_LEN: usize = 64;
 
-/// One step from the root of a document to a value in it.
+/// One step of the path from the root of a document to a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// A field of an object.
@@ -29,17 +29,17 @@
     Item(usize),
 }
 
-/// A fault and the place of the value that has it.
+/// A fault and the path of the invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Steps from the root of the document.
+    /// Path from the root of the document.
     pub path: Vec<Step>,
-    /// What is wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
 impl fmt::Display for Fault {
-    /// Writes the place and the fault, such as ``entries[0].owner: the owner is empty``.
+    /// Writes path and fault, such as ``entries[0].owner: the owner is empty``.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, step) in self.path.iter().enumerate() {
             match step {
@@ -52,46 +52,46 @@
     }
 }
 
-/// What is wrong with a value of a catalogue.
+/// Kind of fault of a value in a catalogue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum FaultKind {
-    /// Two things of one list have the same name.
+    /// Two elements of a list have the same name, or two accounts the same key.
     #[error("`{0}` is there twice")]
     Duplicate(CompactString),
-    /// A name can't stand in a URL path segment.
+    /// A name can't be used as a URL path segment.
     #[error("`{0}` is not a name")]
     InvalidName(CompactString),
-    /// Nobody answers for the entry.
+    /// The entry has no owner.
     #[error("the owner is empty")]
     EmptyOwner,
-    /// The version in force isn't among those that may be served.
+    /// The current version isn't among those that may be served.
     #[error("version `{0}` is not among `versions`")]
     UnknownVersion(CompactString),
-    /// An entry may be used by an account that doesn't exist.
+    /// An entry grants access to an account that doesn't exist.
     #[error("no account is named `{0}`")]
     UnknownAccount(CompactString),
-    /// A key's digest has the wrong form.
+    /// A key is not a lower-case hex SHA-256 digest.
     #[error("not a SHA-256 digest")]
     InvalidDigest,
-    /// A limit would refuse everything.
+    /// A limit of 0 would reject every request.
     #[error("the limit is 0")]
     ZeroLimit,
-    /// A list that needs an element has none.
+    /// A list that needs at least one element is empty.
     #[error("the list is empty")]
     EmptyList,
-    /// A list is longer than the system is built for.
+    /// A list has more elements than the system is designed for.
     #[error("{found} elements, more than {max}")]
     TooMany {
         /// Length of the list.
         found: usize,
-        /// Longest that is allowed.
+        /// Maximum length of the list.
         max: usize,
     },
 }
 
 impl FaultKind {
-    /// What the operator can do.
+    /// Returns advice for the operator on how to correct the fault.
     pub fn help(&self) -> String {
         match self {
             FaultKind::Duplicate(_) => "give each its own name, or remove one".into(),
@@ -116,54 +116,59 @@
     }
 }
 
-/// Whether `text` can name something, and so stand in a URL path segment.
+/// Returns whether `text` is a valid name, which can be used as a URL path segment.
 pub fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     (1..=MAX_NAME).contains(&text.len()) && text.bytes().all(allowed)
 }
 
-/// Whether `text` is a lower-case hex SHA-256 digest.
+/// Returns whether `text` is a lower-case hex SHA-256 digest.
 pub fn is_digest(text: &str) -> bool {
     text.len() == DIGEST_LEN && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'))
 }
 
 impl CatalogDoc {
-    /// Finds every fault, in the order of the document.
+    /// Returns all faults in document order.
     pub fn check(&self) -> Vec<Fault> {
-        let mut faults = Faults::default();
+        let mut faults = FaultCollector::default();
         self.check_accounts(&mut faults);
         self.check_entries(&mut faults);
         faults.found
     }
 
-    fn check_accounts(&self, faults: &mut Faults) {
+    fn check_accounts(&self, faults: &mut FaultCollector) {
         let field = Step::Field("accounts");
-        // An empty list would stop all serving at once, and comes of a cut or wrong file.
-        faults.least(&[field], self.accounts.len());
-        faults.most(&[field], self.accounts.len(), MAX_ACCOUNTS);
+        // An empty list usually means a truncated or wrong file, and would stop all traffic at
+        // once.
+        faults.require_non_empty(&[field], self.accounts.len());
+        faults.require_at_most(&[field], self.accounts.len(), MAX_ACCOUNTS);
         let mut names = FxHashSet::default();
         let mut digests = FxHashSet::default();
         for (i, account) in self.accounts.iter().enumerate() {
             let at = [field, Step::Item(i)];
-            faults.name(&[at[0], at[1], Step::Field("name")], &account.name, &mut names);
+            faults.check_name(&[at[0], at[1], Step::Field("name")], &account.name, &mut names);
             let keys = [at[0], at[1], Step::Field("keys")];
-            faults.least(&keys, account.keys.len());
-            faults.most(&keys, account.keys.len(), MAX_KEYS);
+            faults.require_non_empty(&keys, account.keys.len());
+            faults.require_at_most(&keys, account.keys.len(), MAX_KEYS);
             for (k, digest) in account.keys.iter().enumerate() {
-                faults.digest(&[keys[0], keys[1], keys[2], Step::Item(k)], digest, &mut digests);
+                faults.check_digest(
+                    &[keys[0], keys[1], keys[2], Step::Item(k)],
+                    digest,
+                    &mut digests,
+                );
             }
         }
     }
 
-    fn check_entries(&self, faults: &mut Faults) {
+    fn check_entries(&self, faults: &mut FaultCollector) {
         let field = Step::Field("entries");
-        faults.least(&[field], self.entries.len());
-        faults.most(&[field], self.entries.len(), MAX_ENTRIES);
+        faults.require_non_empty(&[field], self.entries.len());
+        faults.require_at_most(&[field], self.entries.len(), MAX_ENTRIES);
         let accounts: FxHashSet<&str> = self.accounts.iter().map(|a| a.name.as_str()).collect();
         let mut names = FxHashSet::default();
         for (i, entry) in self.entries.iter().enumerate() {
             let at = [field, Step::Item(i)];
-            faults.name(&[at[0], at[1], Step::Field("name")], &entry.name, &mut names);
+            faults.check_name(&[at[0], at[1], Step::Field("name")], &entry.name, &mut names);
             if entry.owner.trim().is_empty() {
                 faults.add(&[at[0], at[1], Step::Field("owner")], FaultKind::EmptyOwner);
             }
@@ -174,13 +179,13 @@
     }
 }
 
-fn check_versions(faults: &mut Faults, at: [Step; 2], entry: &Entry) {
+fn check_versions(faults: &mut FaultCollector, at: [Step; 2], entry: &Entry) {
     let field = [at[0], at[1], Step::Field("versions")];
-    faults.least(&field, entry.versions.len());
-    faults.most(&field, entry.versions.len(), MAX_VERSIONS);
+    faults.require_non_empty(&field, entry.versions.len());
+    faults.require_at_most(&field, entry.versions.len(), MAX_VERSIONS);
     let mut names = FxHashSet::default();
     for (i, version) in entry.versions.iter().enumerate() {
-        faults.name(&[field[0], field[1], field[2], Step::Item(i)], version, &mut names);
+        faults.check_name(&[field[0], field[1], field[2], Step::Item(i)], version, &mut names);
     }
     if !entry.versions.contains(&entry.version) {
         let path = [at[0], at[1], Step::Field("version")];
@@ -188,8 +193,8 @@
     }
 }
 
-fn check_limits(faults: &mut Faults, at: [Step; 2], limits: &Limits) {
-    // Taken apart without `..`, so that a new limit can't be left out of the check.
+fn check_limits(faults: &mut FaultCollector, at: [Step; 2], limits: &Limits) {
+    // Destructured without `..`, so that a new limit can't be omitted from the check.
     let Limits { max_tokens, body_bytes, concurrent, queue, wait_ms, first_ms, stall_ms, call_ms } =
         *limits;
     let values = [
@@ -207,7 +212,12 @@
     }
 }
 
-fn check_access(faults: &mut Faults, at: [Step; 2], entry: &Entry, accounts: &FxHashSet<&str>) {
+fn check_access(
+    faults: &mut FaultCollector,
+    at: [Step; 2],
+    entry: &Entry,
+    accounts: &FxHashSet<&str>,
+) {
     let mut names = FxHashSet::default();
     for (i, access) in entry.accounts.iter().enumerate() {
         let path = |field| [at[0], at[1], Step::Field("accounts"), Step::Item(i), field];
@@ -225,28 +235,28 @@
 }
 
 #[derive(Default)]
-struct Faults {
+struct FaultCollector {
     found: Vec<Fault>,
 }
 
-impl Faults {
+impl FaultCollector {
     fn add(&mut self, path: &[Step], kind: FaultKind) {
         self.found.push(Fault { path: path.to_vec(), kind });
     }
 
-    fn least(&mut self, path: &[Step], found: usize) {
+    fn require_non_empty(&mut self, path: &[Step], found: usize) {
         if found == 0 {
             self.add(path, FaultKind::EmptyList);
         }
     }
 
-    fn most(&mut self, path: &[Step], found: usize, max: usize) {
+    fn require_at_most(&mut self, path: &[Step], found: usize, max: usize) {
         if found > max {
             self.add(path, FaultKind::TooMany { found, max });
         }
     }
 
-    fn name<'a>(&mut self, path: &[Step], name: &'a str, known: &mut FxHashSet<&'a str>) {
+    fn check_name<'a>(&mut self, path: &[Step], name: &'a str, known: &mut FxHashSet<&'a str>) {
         if !is_name(name) {
             self.add(path, FaultKind::InvalidName(name.into()));
         }
@@ -255,8 +265,9 @@
         }
     }
 
-    /// A digest of two accounts would give the requests of one to the other.
-    fn digest<'a>(&mut self, path: &[Step], digest: &'a str, known: &mut FxHashSet<&'a str>) {
+    /// Checks a key's digest. If two accounts had the same digest, the requests of one would be
+    /// attributed to the other.
+    fn check_digest<'a>(&mut self, path: &[Step], digest: &'a str, known: &mut FxHashSet<&'a str>) {
         if !is_digest(digest) {
             self.add(path, FaultKind::InvalidDigest);
         }
--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -1,10 +1,10 @@
-//! The core itself: one value that owns all control state of a node.
+//! [`Core`], the owner of all control state of a node.
 
 use {
     crate::{
         action::{Action, Reason, Rejection},
         catalog::{Catalog, CatalogDoc, Entry},
-        core::lane::Lane,
+        core::entry_state::EntryState,
         event::{Done, Event, RunnerRequest, Verdict},
         fleet::Fleet,
         id::{AccountKey, EntryKey, Revision, RunnerKey, Ticket},
@@ -19,225 +19,238 @@
 };
 
 mod admit;
-mod lane;
+mod entry_state;
 
-/// Longest time between two ticks.
+/// Maximum time between two [`Event::Tick`]s.
 pub const TICK: Duration = Duration::from_millis(50);
 
 /// All control state of a node.
 #[derive(Debug)]
 pub struct Core {
     catalog: Arc<Catalog>,
-    /// Bound of each account at each entry: a look-up in place of a search through all accounts.
-    access: FxHashMap<Scope, u32>,
+    /// Concurrency limit of each account at each entry, indexed to avoid a search through all
+    /// accounts.
+    account_limits: FxHashMap<Scope, u32>,
     fleet: Fleet,
     limits: Limits,
-    lanes: SecondaryMap<EntryKey, Lane>,
-    tickets: FxHashMap<Ticket, Held>,
+    entry_states: SecondaryMap<EntryKey, EntryState>,
+    requests: FxHashMap<Ticket, TrackedRequest>,
 }
 
-/// A request that the core knows.
+/// A request between its [`Event::Request`] and its end.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct TrackedRequest {
     entry: EntryKey,
     account: AccountKey,
-    /// Whether it counts against the limits.
+    /// Whether it counts towards the concurrency limits.
     admitted: bool,
     stage: Stage,
 }
 
-/// Where a request is.
+/// Processing stage of a request.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    /// In the queue.
-    Waiting,
-    /// At a runner since then.
+    /// Waiting in the queue.
+    Queued,
+    /// Running at a runner since the given time.
     Running { runner: RunnerKey, since: Instant },
-    /// Its runner failed it, and it will ask for another.
-    Between,
+    /// Its runner failed and it will request another one.
+    AwaitingRetry,
 }
 
 impl Core {
-    /// A core that knows nothing yet, of a node at `place`. Equal seeds decide equally; the seed
-    /// also tells the nodes apart when each chooses the runners that it talks to.
-    pub fn new(seed: u64, place: Location) -> Core {
+    /// Returns an empty core for a node at `location`. Decisions are deterministic for a given
+    /// seed. The seed must differ between nodes, because each node derives its subset of runners
+    /// from it.
+    pub fn new(seed: u64, location: Location) -> Core {
         Core {
             catalog: Arc::default(),
-            access: FxHashMap::default(),
-            fleet: Fleet::new(seed, place),
+            account_limits: FxHashMap::default(),
+            fleet: Fleet::new(seed, location),
             limits: Limits::new(),
-            lanes: SecondaryMap::new(),
-            tickets: FxHashMap::default(),
+            entry_states: SecondaryMap::new(),
+            requests: FxHashMap::default(),
         }
     }
 
-    /// Takes one event that happened at `now` and appends what is to be done to `out`. `now` never
-    /// goes back.
+    /// Processes one event that happened at `now` and appends the resulting actions to `out`. `now`
+    /// must not decrease between calls.
     ///
-    /// Each [`RunnerRequest`] is answered once, by this step or a later one, with a grant or a refusal, unless
-    /// it is forgotten first. A refused request is over: its admission is given back.
+    /// Each [`RunnerRequest`] is answered exactly once, by this step or a later one, with a grant
+    /// or a rejection, unless it is cancelled first. A rejection ends the request and releases its
+    /// admission.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Catalog { revision, doc } => self.renew(now, revision, &doc, out),
+            Event::Catalog { revision, doc } => self.apply_catalog(now, revision, &doc, out),
             Event::Instances(list) => {
-                self.fleet.list(list);
-                self.limits.listed(self.fleet.nodes());
-                self.pump_all(now, out);
+                self.fleet.apply_list(list);
+                self.limits.set_listed_nodes(self.fleet.nodes());
+                self.grant_queued_for_all(now, out);
             }
             Event::Load { runner, report } => {
-                self.fleet.report(runner, &report);
-                self.pump_of(now, runner, out);
+                self.fleet.apply_report(runner, &report);
+                self.grant_queued_for_runner(now, runner, out);
             }
-            Event::LoadMissing { runner } => self.fleet.silent(now, runner),
-            Event::Request(ask) => self.ask(now, &ask, out),
-            Event::Cancel(ticket) => self.forget(now, ticket, out),
-            Event::Started(ticket) => self.begun(ticket),
-            Event::Done(done) => self.done(now, &done, out),
+            Event::LoadMissing { runner } => self.fleet.load_missing(now, runner),
+            Event::Request(request) => self.submit(now, &request, out),
+            Event::Cancel(ticket) => self.cancel(now, ticket, out),
+            Event::Started(ticket) => self.started(ticket),
+            Event::Done(done) => self.complete(now, &done, out),
             Event::Peers(peers) => {
-                self.limits.peers(&peers);
-                self.pump_all(now, out);
+                self.limits.set_peers(&peers);
+                self.grant_queued_for_all(now, out);
             }
             Event::Tick => {
                 self.expire(now, out);
-                self.pump_all(now, out);
+                self.grant_queued_for_all(now, out);
             }
         }
     }
 
-    /// The catalogue in force.
+    /// Returns the current catalogue.
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// All runners known.
+    /// Returns all known runners.
     pub fn runners(&self) -> impl Iterator<Item = (RunnerKey, &Instance)> {
         self.fleet.iter()
     }
 
-    /// Runners to poll for load: eligible ones, and draining ones, as only their own report can end
-    /// the draining state.
+    /// Returns the runners to poll for load: the eligible ones of this node's subset, and those
+    /// draining by their own report, because only a further report can end that state.
     pub fn watched(&self) -> impl Iterator<Item = (RunnerKey, &Instance)> {
         self.fleet.watched()
     }
 
-    /// Requests admitted by this node, per entry and account.
+    /// Returns the number of requests admitted by this node, per entry and account.
     pub fn usage(&self) -> Vec<(EntryKey, AccountKey, u32)> {
         self.limits.usage()
     }
 
-    /// Requests of the entry that wait at this node.
+    /// Returns the number of the entry's requests queued at this node.
     pub fn waiting(&self, entry: EntryKey) -> usize {
-        self.lanes.get(entry).map_or(0, Lane::waiting)
+        self.entry_states.get(entry).map_or(0, EntryState::waiting)
     }
 
-    fn renew(&mut self, now: Instant, revision: Revision, doc: &CatalogDoc, out: &mut Vec<Action>) {
+    fn apply_catalog(
+        &mut self,
+        now: Instant,
+        revision: Revision,
+        doc: &CatalogDoc,
+        out: &mut Vec<Action>,
+    ) {
         if revision <= self.catalog.revision {
             return;
         }
         self.catalog = Arc::new(self.catalog.updated(revision, doc));
-        self.access = access(&self.catalog);
+        self.account_limits = account_limits(&self.catalog);
         let entries = &self.catalog.entries;
-        self.limits.keep(|e| entries.contains_key(e));
-        let lanes = self.lanes.keys().collect::<Vec<_>>();
-        for entry in lanes {
-            self.weed(entry, out);
+        self.limits.retain_entries(|e| entries.contains_key(e));
+        let entry_states = self.entry_states.keys().collect::<Vec<_>>();
+        for entry in entry_states {
+            self.reject_disallowed(entry, out);
             if !self.catalog.entries.contains_key(entry) {
-                self.lanes.remove(entry);
+                self.entry_states.remove(entry);
             }
         }
-        self.pump_all(now, out);
+        self.grant_queued_for_all(now, out);
     }
 
-    /// Refuses the waiting requests that the catalogue in force no longer allows.
-    fn weed(&mut self, entry: EntryKey, out: &mut Vec<Action>) {
-        let denied = |account| !self.access.contains_key(&Scope::account(entry, account));
-        let queue = &mut self.lanes[entry].queue;
+    /// Rejects the queued requests that the current catalogue no longer allows.
+    fn reject_disallowed(&mut self, entry: EntryKey, out: &mut Vec<Action>) {
+        let is_denied =
+            |account| !self.account_limits.contains_key(&Scope::account(entry, account));
+        let queue = &mut self.entry_states[entry].queue;
         let reason = match self.catalog.entries.contains_key(entry) {
             true => Reason::NoAccess,
             false => Reason::NoEntry,
         };
-        for waiter in queue.take(|w| denied(w.ask.account)) {
-            self.refuse(waiter.ask.ticket, reason, None, out);
+        for queued in queue.remove_matching(|q| is_denied(q.request.account)) {
+            self.reject(queued.request.ticket, reason, None, out);
         }
     }
 
-    fn forget(&mut self, now: Instant, ticket: Ticket, out: &mut Vec<Action>) {
-        let Some(&held) = self.tickets.get(&ticket) else { return };
-        match held.stage {
+    fn cancel(&mut self, now: Instant, ticket: Ticket, out: &mut Vec<Action>) {
+        let Some(&tracked) = self.requests.get(&ticket) else { return };
+        match tracked.stage {
             Stage::Running { .. } => return,
-            Stage::Between => {}
-            Stage::Waiting => _ = self.lanes[held.entry].queue.remove(ticket),
+            Stage::AwaitingRetry => {}
+            Stage::Queued => _ = self.entry_states[tracked.entry].queue.remove(ticket),
         }
-        self.close(ticket);
-        self.pump(now, held.entry, out);
+        self.release(ticket);
+        self.grant_queued(now, tracked.entry, out);
     }
 
-    fn begun(&mut self, ticket: Ticket) {
-        if let Some(Held { stage: Stage::Running { runner, .. }, .. }) = self.tickets.get(&ticket) {
-            self.fleet.begun(*runner);
+    fn started(&mut self, ticket: Ticket) {
+        if let Some(TrackedRequest { stage: Stage::Running { runner, .. }, .. }) =
+            self.requests.get(&ticket)
+        {
+            self.fleet.started(*runner);
         }
     }
 
-    fn done(&mut self, now: Instant, done: &Done, out: &mut Vec<Action>) {
-        let Some(held) = self.tickets.get_mut(&done.ticket) else { return };
-        let Stage::Running { runner, since } = held.stage else { return };
-        let entry = held.entry;
-        self.fleet.done(now, runner, done);
+    fn complete(&mut self, now: Instant, done: &Done, out: &mut Vec<Action>) {
+        let Some(tracked) = self.requests.get_mut(&done.ticket) else { return };
+        let Stage::Running { runner, since } = tracked.stage else { return };
+        let entry = tracked.entry;
+        self.fleet.complete(now, runner, done);
         match done.will_retry {
-            true => held.stage = Stage::Between,
-            false => self.close(done.ticket),
+            true => tracked.stage = Stage::AwaitingRetry,
+            false => self.release(done.ticket),
         }
-        if let (Verdict::Ok, Some(lane)) = (done.verdict, self.lanes.get_mut(entry)) {
-            lane.served(now.duration_since(since));
+        if let (Verdict::Ok, Some(state)) = (done.verdict, self.entry_states.get_mut(entry)) {
+            state.record_success(now.duration_since(since));
         }
-        self.pump(now, entry, out);
+        self.grant_queued(now, entry, out);
     }
 
-    /// Ends a request that the core knows, and gives back its admission.
-    fn close(&mut self, ticket: Ticket) {
-        let Some(held) = self.tickets.remove(&ticket) else { return };
-        if held.admitted {
-            self.limits.leave(held.entry, held.account);
+    /// Stops tracking a request and releases its admission.
+    fn release(&mut self, ticket: Ticket) {
+        let Some(tracked) = self.requests.remove(&ticket) else { return };
+        if tracked.admitted {
+            self.limits.release(tracked.entry, tracked.account);
         }
     }
 
-    fn refuse(
+    fn reject(
         &mut self,
         ticket: Ticket,
         reason: Reason,
         retry: Option<Duration>,
         out: &mut Vec<Action>,
     ) {
-        self.close(ticket);
+        self.release(ticket);
         out.push(Action::Reject(Rejection { ticket, reason, retry_after: retry }));
     }
 
-    fn pump_all(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let waiting = self.lanes.iter().filter(|(_, l)| l.waiting() > 0);
+    fn grant_queued_for_all(&mut self, now: Instant, out: &mut Vec<Action>) {
+        let waiting = self.entry_states.iter().filter(|(_, s)| s.waiting() > 0);
         let entries = waiting.map(|(e, _)| e).collect::<Vec<_>>();
-        entries.into_iter().for_each(|e| self.pump(now, e, out));
+        entries.into_iter().for_each(|e| self.grant_queued(now, e, out));
     }
 
-    fn pump_of(&mut self, now: Instant, runner: RunnerKey, out: &mut Vec<Action>) {
+    fn grant_queued_for_runner(&mut self, now: Instant, runner: RunnerKey, out: &mut Vec<Action>) {
         let Some(instance) = self.fleet.instance(runner) else { return };
         if let Some(entry) = self.catalog.entry(&instance.entry) {
-            self.pump(now, entry, out);
+            self.grant_queued(now, entry, out);
         }
     }
 
-    /// Whether the node's shares leave room for the request, or it has its admission already.
-    fn admits(&mut self, entry: &Entry, ask: &RunnerRequest) -> bool {
-        if self.tickets.get(&ask.ticket).is_some_and(|h| h.admitted) {
+    /// Returns whether the request is already admitted or fits into this node's shares of the
+    /// limits.
+    fn is_within_limits(&mut self, entry: &Entry, request: &RunnerRequest) -> bool {
+        if self.requests.get(&request.ticket).is_some_and(|r| r.admitted) {
             return true;
         }
-        let scope = Scope::account(ask.entry, ask.account);
-        let Some(&most) = self.access.get(&scope) else { return false };
-        self.limits.room(Scope::of(ask.entry), entry.limits.concurrent)
-            && self.limits.room(scope, most)
+        let scope = Scope::account(request.entry, request.account);
+        let Some(&limit) = self.account_limits.get(&scope) else { return false };
+        self.limits.has_room(Scope::of(request.entry), entry.limits.concurrent)
+            && self.limits.has_room(scope, limit)
     }
 }
 
-fn access(catalog: &Catalog) -> FxHashMap<Scope, u32> {
+fn account_limits(catalog: &Catalog) -> FxHashMap<Scope, u32> {
     let all = catalog.entries.iter().flat_map(|(k, e)| e.accounts.iter().map(move |a| (k, a)));
     all.filter_map(|(entry, access)| {
         let account = catalog.account(&access.account)?;
--- a/crates/decide/src/core/admit.rs
+++ b/crates/decide/src/core/admit.rs
@@ -1,7 +1,7 @@
-//! From an ask to its grant or refusal.
+//! Admission: processing of a runner request up to its grant or rejection.
 
 use {
-    super::{Core, Held, Stage},
+    super::{Core, Stage, TrackedRequest},
     crate::{
         action::{Action, Grant, Reason},
         catalog::Entry,
@@ -9,131 +9,150 @@
         fleet::Fleet,
         id::{EntryKey, PoolKey, RunnerKey, Ticket},
         limits::Scope,
-        queue::Waiter,
-        route::Want,
+        queue::QueuedRequest,
+        route::Criteria,
     },
     std::{sync::Arc, time::Duration},
     tokio::time::Instant,
 };
 
-/// When a refused request may try again if no runner is there.
-const NO_RUNNER_RETRY: Duration = Duration::from_secs(1);
-/// Shortest and longest time after which a refused caller is asked back.
-const RETRY_LEAST: Duration = Duration::from_millis(250);
-const RETRY_MOST: Duration = Duration::from_secs(60);
-/// Shortest bound on the wait of a request that lost its runner: the bound of a new one may be short,
-/// but here an answer that is half delivered would be thrown away.
-const AGAIN_LEAST: Duration = Duration::from_secs(3);
-/// `Retry-After` before any request duration is known.
-const RETRY_UNKNOWN: Duration = Duration::from_secs(1);
+/// `Retry-After` of a rejection for lack of a runner.
+const NO_RUNNER_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Bounds of the `Retry-After` of a rejection.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+/// Minimum for the longest queue wait of a request that lost its runner. The entry's `wait_ms` may
+/// be short, but rejecting such a request discards a partially delivered answer.
+const MIN_RETRY_WAIT: Duration = Duration::from_secs(3);
+/// `Retry-After` while no request duration has been measured.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Core {
-    /// Takes an ask: grants, queues or refuses it.
-    pub(super) fn ask(&mut self, now: Instant, ask: &RunnerRequest, out: &mut Vec<Action>) {
-        let ticket = ask.ticket;
-        let known = self.tickets.get(&ticket).copied();
-        if known.is_some_and(|h| !matches!(h.stage, Stage::Between)) {
+    /// Grants, queues or rejects a request.
+    pub(super) fn submit(&mut self, now: Instant, request: &RunnerRequest, out: &mut Vec<Action>) {
+        let ticket = request.ticket;
+        let known = self.requests.get(&ticket).copied();
+        if known.is_some_and(|r| !matches!(r.stage, Stage::AwaitingRetry)) {
             return;
         }
         let catalog = Arc::clone(&self.catalog);
-        let Some(entry) = catalog.entries.get(ask.entry) else {
-            return self.refuse(ticket, Reason::NoEntry, None, out);
+        let Some(entry) = catalog.entries.get(request.entry) else {
+            return self.reject(ticket, Reason::NoEntry, None, out);
         };
-        let scope = Scope::account(ask.entry, ask.account);
-        let Some(&most) = self.access.get(&scope) else {
-            return self.refuse(ticket, Reason::NoAccess, None, out);
+        let scope = Scope::account(request.entry, request.account);
+        let Some(&limit) = self.account_limits.get(&scope) else {
+            return self.reject(ticket, Reason::NoAccess, None, out);
         };
-        if self.pool(entry, ask).is_none() {
-            return self.refuse(ticket, Reason::NoRunner, Some(NO_RUNNER_RETRY), out);
+        if self.pool(entry, request).is_none() {
+            return self.reject(ticket, Reason::NoRunner, Some(NO_RUNNER_RETRY_AFTER), out);
         }
-        let admitted = known.is_some_and(|h| (h.entry, h.account) == (ask.entry, ask.account));
+        let admitted =
+            known.is_some_and(|r| (r.entry, r.account) == (request.entry, request.account));
         if !admitted {
-            self.close(ticket);
+            self.release(ticket);
         }
-        if !admitted && self.limits.full(scope, most) {
-            let retry = self.account_retry(ask);
-            return self.refuse(ticket, Reason::AccountLimit, Some(retry), out);
+        if !admitted && self.limits.is_full(scope, limit) {
+            let retry = self.account_retry_after(request);
+            return self.reject(ticket, Reason::AccountLimit, Some(retry), out);
         }
-        let held = Held { entry: ask.entry, account: ask.account, admitted, stage: Stage::Waiting };
-        self.tickets.insert(ticket, held);
-        if !self.lanes.contains_key(ask.entry) {
-            self.lanes.insert(ask.entry, Default::default());
+        let tracked = TrackedRequest {
+            entry: request.entry,
+            account: request.account,
+            admitted,
+            stage: Stage::Queued,
+        };
+        self.requests.insert(ticket, tracked);
+        if !self.entry_states.contains_key(request.entry) {
+            self.entry_states.insert(request.entry, Default::default());
         }
-        self.renew_budget(now, ask.entry, entry);
-        if self.lanes[ask.entry].queue.is_empty()
-            && self.may_go(entry, ask)
-            && let Some(runner) = self.find(now, entry, ask)
+        self.refill_budget(now, request.entry, entry);
+        if self.entry_states[request.entry].queue.is_empty()
+            && self.may_start(entry, request)
+            && let Some(runner) = self.find_runner(now, entry, request)
         {
-            return self.grant(now, ask, runner, out);
+            return self.grant(now, request, runner, out);
         }
-        self.enqueue(now, entry, ask, out);
+        self.enqueue(now, entry, request, out);
     }
 
-    /// Queues a request, grants what may go, and refuses it at once if it would wait too long.
-    fn enqueue(&mut self, now: Instant, entry: &Entry, ask: &RunnerRequest, out: &mut Vec<Action>) {
-        let (key, ticket) = (ask.entry, ask.ticket);
-        let most = longest(entry, ask.purpose);
-        self.lanes[key].queue.push(Waiter { ask: ask.clone(), until: now + most });
-        self.pump(now, key, out);
-        if !self.waits(ticket) {
+    /// Queues a request and grants the queued requests that can start. Rejects the new request
+    /// immediately if its expected wait exceeds the maximum, and sheds requests over the queue
+    /// limit.
+    fn enqueue(
+        &mut self,
+        now: Instant,
+        entry: &Entry,
+        request: &RunnerRequest,
+        out: &mut Vec<Action>,
+    ) {
+        let (key, ticket) = (request.entry, request.ticket);
+        let max_wait = max_wait(entry, request.purpose);
+        self.entry_states[key]
+            .queue
+            .push(QueuedRequest { request: request.clone(), deadline: now + max_wait });
+        self.grant_queued(now, key, out);
+        if !self.is_queued(ticket) {
             return;
         }
-        let wait = self.expected(ask);
-        if let Some(wait) = wait.filter(|w| *w > most) {
-            self.lanes[key].queue.remove(ticket);
-            let (reason, retry) = match ask.purpose {
+        let wait = self.expected_wait(request);
+        if let Some(wait) = wait.filter(|w| *w > max_wait) {
+            self.entry_states[key].queue.remove(ticket);
+            let (reason, retry) = match request.purpose {
                 Purpose::Retry => (Reason::NoBudget, wait),
-                Purpose::Resume | Purpose::First => (Reason::WaitTooLong, wait - most),
+                Purpose::Resume | Purpose::First => (Reason::WaitTooLong, wait - max_wait),
             };
-            return self.refuse(ticket, reason, Some(bounded(retry)), out);
+            return self.reject(ticket, reason, Some(clamp_retry_after(retry)), out);
         }
-        while self.lanes[key].queue.len() > entry.limits.queue as usize {
-            let Some(waiter) = self.lanes[key].queue.shed() else { break };
-            let retry = self.drained(key, 1 + entry.limits.queue as usize / 2);
-            self.refuse(waiter.ask.ticket, Reason::EntryLimit, Some(retry), out);
+        while self.entry_states[key].queue.len() > entry.limits.queue as usize {
+            let Some(queued) = self.entry_states[key].queue.shed() else { break };
+            let retry = self.retry_after_completions(key, 1 + entry.limits.queue as usize / 2);
+            self.reject(queued.request.ticket, Reason::EntryLimit, Some(retry), out);
         }
     }
 
-    /// Grants what waits for the entry, in order, as far as shares, budget and runners allow.
-    pub(super) fn pump(&mut self, now: Instant, key: EntryKey, out: &mut Vec<Action>) {
+    /// Grants queued requests of the entry, in priority order, while shares, retry budget and
+    /// runners allow.
+    pub(super) fn grant_queued(&mut self, now: Instant, key: EntryKey, out: &mut Vec<Action>) {
         let catalog = Arc::clone(&self.catalog);
         let Some(entry) = catalog.entries.get(key) else { return };
-        if self.lanes.get(key).is_none_or(|l| l.queue.is_empty()) {
+        if self.entry_states.get(key).is_none_or(|s| s.queue.is_empty()) {
             return;
         }
-        self.renew_budget(now, key, entry);
+        self.refill_budget(now, key, entry);
         let mut full = Vec::new();
-        while self.retry_next(now, entry, key, &mut full, out) {}
-        while self.first_next(now, entry, key, &mut full, out) {}
+        while self.grant_next_prioritized(now, entry, key, &mut full, out) {}
+        while self.grant_next_first(now, entry, key, &mut full, out) {}
     }
 
-    /// Refuses what has waited out its time, or waits for a version whose last runner went. The
-    /// latter would else learn only seconds later what is known already.
+    /// Rejects queued requests whose deadline has passed or whose version has no runner left.
+    /// Without the second check these would wait for their deadline although no runner can serve
+    /// them.
     pub(super) fn expire(&mut self, now: Instant, out: &mut Vec<Action>) {
         let catalog = Arc::clone(&self.catalog);
         let fleet = &self.fleet;
-        let over =
-            |entry: &Entry, w: &Waiter| w.until <= now || pool(fleet, entry, &w.ask).is_none();
-        let lanes = self.lanes.iter_mut().filter(|(_, l)| !l.queue.is_empty());
-        let late = lanes
-            .filter_map(|(key, lane)| Some((catalog.entries.get(key)?, lane)))
-            .flat_map(|(entry, lane)| lane.queue.take(|w| over(entry, w)))
+        let is_expired = |entry: &Entry, q: &QueuedRequest| {
+            q.deadline <= now || pool(fleet, entry, &q.request).is_none()
+        };
+        let entry_states = self.entry_states.iter_mut().filter(|(_, s)| !s.queue.is_empty());
+        let expired = entry_states
+            .filter_map(|(key, state)| Some((catalog.entries.get(key)?, state)))
+            .flat_map(|(entry, state)| state.queue.remove_matching(|q| is_expired(entry, q)))
             .collect::<Vec<_>>();
-        for Waiter { ask, .. } in late {
-            let pool = catalog.entries.get(ask.entry).and_then(|e| self.pool(e, &ask));
-            let (reason, retry) = match (pool, ask.purpose) {
-                (None, _) => (Reason::NoRunner, NO_RUNNER_RETRY),
-                (_, Purpose::Retry) if !self.lanes[ask.entry].budget.funded() => {
-                    (Reason::NoBudget, self.lanes[ask.entry].budget.wait(0))
+        for QueuedRequest { request, .. } in expired {
+            let pool = catalog.entries.get(request.entry).and_then(|e| self.pool(e, &request));
+            let (reason, retry) = match (pool, request.purpose) {
+                (None, _) => (Reason::NoRunner, NO_RUNNER_RETRY_AFTER),
+                (_, Purpose::Retry) if !self.entry_states[request.entry].budget.has_budget() => {
+                    (Reason::NoBudget, self.entry_states[request.entry].budget.expected_wait(0))
                 }
-                _ => (Reason::WaitTooLong, self.drained(ask.entry, 1)),
+                _ => (Reason::WaitTooLong, self.retry_after_completions(request.entry, 1)),
             };
-            self.refuse(ask.ticket, reason, Some(bounded(retry)), out);
+            self.reject(request.ticket, reason, Some(clamp_retry_after(retry)), out);
         }
     }
 
-    /// Grants the first of those who go ahead of the firsts, if it may go.
-    fn retry_next(
+    /// Grants the next retry or resume that can start, and returns whether there was one.
+    fn grant_next_prioritized(
         &mut self,
         now: Instant,
         entry: &Entry,
@@ -141,18 +160,19 @@
         full: &mut Vec<PoolKey>,
         out: &mut Vec<Action>,
     ) -> bool {
-        let next = self.lanes[key].queue.heads().into_iter().find_map(|ask| {
-            let runner = self.try_find(now, entry, &ask, full)?;
-            Some((ask, runner))
+        let next = self.entry_states[key].queue.heads().into_iter().find_map(|request| {
+            let runner = self.find_runner_unless_full(now, entry, &request, full)?;
+            Some((request, runner))
         });
-        let Some((ask, runner)) = next else { return false };
-        self.lanes[key].queue.remove(ask.ticket);
-        self.grant(now, &ask, runner, out);
+        let Some((request, runner)) = next else { return false };
+        self.entry_states[key].queue.remove(request.ticket);
+        self.grant(now, &request, runner, out);
         true
     }
 
-    /// Grants the next first request whose account and version have room.
-    fn first_next(
+    /// Grants the next first request whose account and version have capacity, and returns whether
+    /// there was one.
+    fn grant_next_first(
         &mut self,
         now: Instant,
         entry: &Entry,
@@ -160,140 +180,152 @@
         full: &mut Vec<PoolKey>,
         out: &mut Vec<Action>,
     ) -> bool {
-        if !self.limits.room(Scope::of(key), entry.limits.concurrent) {
+        if !self.limits.has_room(Scope::of(key), entry.limits.concurrent) {
             return false;
         }
         let limits = &self.limits;
         let running = |account| limits.running(Scope::account(key, account));
-        for account in self.lanes[key].queue.order(running) {
-            let Some(head) = self.lanes[key].queue.head(account) else { continue };
-            let ask = head.ask.clone();
-            if let Some(runner) = self.try_find(now, entry, &ask, full) {
-                self.lanes[key].queue.pop(account);
-                self.grant(now, &ask, runner, out);
+        for account in self.entry_states[key].queue.accounts_by_priority(running) {
+            let Some(head) = self.entry_states[key].queue.head(account) else { continue };
+            let request = head.request.clone();
+            if let Some(runner) = self.find_runner_unless_full(now, entry, &request, full) {
+                self.entry_states[key].queue.pop(account);
+                self.grant(now, &request, runner, out);
                 return true;
             }
         }
         false
     }
 
-    /// Finds a runner, but doesn't search again in a pool just found full.
-    fn try_find(
+    /// Finds a runner, skipping pools already found full during this pass.
+    fn find_runner_unless_full(
         &mut self,
         now: Instant,
         entry: &Entry,
-        ask: &RunnerRequest,
+        request: &RunnerRequest,
         full: &mut Vec<PoolKey>,
     ) -> Option<RunnerKey> {
-        let pool = self.pool(entry, ask)?;
-        if full.contains(&pool) || !self.may_go(entry, ask) {
+        let pool = self.pool(entry, request)?;
+        if full.contains(&pool) || !self.may_start(entry, request) {
             return None;
         }
-        let runner = self.find(now, entry, ask);
-        if runner.is_none() && ask.avoid.is_none() {
+        let runner = self.find_runner(now, entry, request);
+        if runner.is_none() && request.avoid.is_none() {
             full.push(pool);
         }
         runner
     }
 
-    /// Whether shares, budget and pace let the request go now.
-    fn may_go(&mut self, entry: &Entry, ask: &RunnerRequest) -> bool {
-        let budget = self.lanes[ask.entry].budget;
-        let paced = match ask.purpose {
-            Purpose::Retry => budget.ready(),
-            Purpose::Resume => budget.paced(),
+    /// Returns whether shares, retry budget and pace allow the request to start now.
+    fn may_start(&mut self, entry: &Entry, request: &RunnerRequest) -> bool {
+        let budget = self.entry_states[request.entry].budget;
+        let paced = match request.purpose {
+            Purpose::Retry => budget.can_retry(),
+            Purpose::Resume => budget.is_within_pace(),
             Purpose::First => true,
         };
-        paced && self.admits(entry, ask)
+        paced && self.is_within_limits(entry, request)
     }
 
-    fn find(&mut self, now: Instant, entry: &Entry, ask: &RunnerRequest) -> Option<RunnerKey> {
-        let pool = self.pool(entry, ask)?;
-        let probe = ask.purpose == Purpose::First && ask.avoid.is_none();
-        self.fleet.pick(now, pool, &Want { prefix: ask.prefix, avoid: ask.avoid, probe })
+    fn find_runner(
+        &mut self,
+        now: Instant,
+        entry: &Entry,
+        request: &RunnerRequest,
+    ) -> Option<RunnerKey> {
+        let pool = self.pool(entry, request)?;
+        let may_probe = request.purpose == Purpose::First && request.avoid.is_none();
+        self.fleet.pick(
+            now,
+            pool,
+            &Criteria { prefix: request.prefix, avoid: request.avoid, may_probe },
+        )
     }
 
     fn grant(
         &mut self,
         now: Instant,
-        ask: &RunnerRequest,
+        request: &RunnerRequest,
         runner: RunnerKey,
         out: &mut Vec<Action>,
     ) {
-        let held =
-            self.tickets.get_mut(&ask.ticket).expect("a request has its ticket until it ends");
-        held.stage = Stage::Running { runner, since: now };
-        if !std::mem::replace(&mut held.admitted, true) {
-            self.limits.enter(ask.entry, ask.account);
+        let tracked =
+            self.requests.get_mut(&request.ticket).expect("a request is tracked until it ends");
+        tracked.stage = Stage::Running { runner, since: now };
+        if !std::mem::replace(&mut tracked.admitted, true) {
+            self.limits.admit(request.entry, request.account);
         }
-        let budget = &mut self.lanes[ask.entry].budget;
-        match ask.purpose {
-            Purpose::Retry => budget.spend(),
-            Purpose::Resume => budget.step(),
+        let budget = &mut self.entry_states[request.entry].budget;
+        match request.purpose {
+            Purpose::Retry => budget.consume_retry(),
+            Purpose::Resume => budget.consume_pace(),
             Purpose::First => {}
         }
-        self.fleet.sent(runner, ask.ticket, ask.purpose == Purpose::First);
-        let instance = self.fleet.instance(runner).expect("a picked runner is known");
+        self.fleet.record_sent(runner, request.ticket, request.purpose == Purpose::First);
+        let instance = self.fleet.instance(runner).expect("a picked runner is in the fleet");
         let (url, version) = (instance.url.clone(), instance.version.clone());
-        out.push(Action::Grant(Grant { ticket: ask.ticket, runner, url, version }));
+        out.push(Action::Grant(Grant { ticket: request.ticket, runner, url, version }));
     }
 
-    fn pool(&self, entry: &Entry, ask: &RunnerRequest) -> Option<PoolKey> {
-        pool(&self.fleet, entry, ask)
+    fn pool(&self, entry: &Entry, request: &RunnerRequest) -> Option<PoolKey> {
+        pool(&self.fleet, entry, request)
     }
 
-    fn waits(&self, ticket: Ticket) -> bool {
-        self.tickets.get(&ticket).is_some_and(|h| matches!(h.stage, Stage::Waiting))
+    fn is_queued(&self, ticket: Ticket) -> bool {
+        self.requests.get(&ticket).is_some_and(|r| matches!(r.stage, Stage::Queued))
     }
 
-    /// Expected wait of a request that was just queued, if enough is known to say.
-    fn expected(&self, ask: &RunnerRequest) -> Option<Duration> {
-        let lane = &self.lanes[ask.entry];
+    /// Returns the expected wait of a request that was just queued, or `None` if no request
+    /// duration is known.
+    fn expected_wait(&self, request: &RunnerRequest) -> Option<Duration> {
+        let state = &self.entry_states[request.entry];
         let limits = &self.limits;
-        let running = |a| limits.running(Scope::account(ask.entry, a));
-        let ahead = match ask.purpose {
-            Purpose::Retry => return Some(lane.budget.wait(lane.queue.agains.len() - 1)),
-            Purpose::Resume => lane.queue.agains.len() + lane.queue.resumes.len() - 1,
-            Purpose::First => lane.queue.ahead(ask.account, running),
+        let running = |a| limits.running(Scope::account(request.entry, a));
+        let ahead = match request.purpose {
+            Purpose::Retry => {
+                return Some(state.budget.expected_wait(state.queue.retries.len() - 1));
+            }
+            Purpose::Resume => state.queue.retries.len() + state.queue.resumes.len() - 1,
+            Purpose::First => state.queue.requests_ahead(request.account, running),
         };
-        lane.drain(ahead + 1, limits.running(Scope::of(ask.entry)))
+        state.time_to_finish(ahead + 1, limits.running(Scope::of(request.entry)))
     }
 
-    fn drained(&self, entry: EntryKey, count: usize) -> Duration {
+    fn retry_after_completions(&self, entry: EntryKey, count: usize) -> Duration {
         let running = self.limits.running(Scope::of(entry));
-        let drain = self.lanes.get(entry).and_then(|l| l.drain(count, running));
-        bounded(drain.unwrap_or(RETRY_UNKNOWN))
+        let drain = self.entry_states.get(entry).and_then(|s| s.time_to_finish(count, running));
+        clamp_retry_after(drain.unwrap_or(DEFAULT_RETRY_AFTER))
     }
 
-    /// When one of the account's requests, wherever it runs, should have ended.
-    fn account_retry(&self, ask: &RunnerRequest) -> Duration {
-        let running = self.limits.known(Scope::account(ask.entry, ask.account));
-        let drain = self.lanes.get(ask.entry).and_then(|l| l.drain(1, running));
-        bounded(drain.unwrap_or(RETRY_UNKNOWN))
+    /// Returns the expected time until one of the account's requests ends, at any node.
+    fn account_retry_after(&self, request: &RunnerRequest) -> Duration {
+        let running = self.limits.total(Scope::account(request.entry, request.account));
+        let drain = self.entry_states.get(request.entry).and_then(|s| s.time_to_finish(1, running));
+        clamp_retry_after(drain.unwrap_or(DEFAULT_RETRY_AFTER))
     }
 
-    fn renew_budget(&mut self, now: Instant, key: EntryKey, entry: &Entry) {
+    fn refill_budget(&mut self, now: Instant, key: EntryKey, entry: &Entry) {
         let running = self.limits.running(Scope::of(key));
-        let lane = &mut self.lanes[key];
-        let overload = lane.queue.len() * 2 > entry.limits.queue as usize;
-        lane.budget.renew(now, running, overload);
+        let state = &mut self.entry_states[key];
+        let overload = state.queue.len() * 2 > entry.limits.queue as usize;
+        state.budget.refill(now, running, overload);
     }
 }
 
-/// Runners of the version that must serve the request, if there are any.
-fn pool(fleet: &Fleet, entry: &Entry, ask: &RunnerRequest) -> Option<PoolKey> {
-    fleet.pool(&entry.name, ask.pin.as_ref().unwrap_or(&entry.version))
+/// Returns the pool of the version that must serve the request, if it has eligible runners.
+fn pool(fleet: &Fleet, entry: &Entry, request: &RunnerRequest) -> Option<PoolKey> {
+    fleet.pool(&entry.name, request.pin.as_ref().unwrap_or(&entry.version))
 }
 
-/// Longest wait of a request.
-fn longest(entry: &Entry, purpose: Purpose) -> Duration {
-    let most = Duration::from_millis(entry.limits.wait_ms.into());
+/// Returns the longest time that a request may wait in the queue.
+fn max_wait(entry: &Entry, purpose: Purpose) -> Duration {
+    let max_wait = Duration::from_millis(entry.limits.wait_ms.into());
     match purpose {
-        Purpose::Retry => most.max(AGAIN_LEAST),
-        Purpose::First | Purpose::Resume => most,
+        Purpose::Retry => max_wait.max(MIN_RETRY_WAIT),
+        Purpose::First | Purpose::Resume => max_wait,
     }
 }
 
-fn bounded(retry: Duration) -> Duration {
-    retry.clamp(RETRY_LEAST, RETRY_MOST)
+fn clamp_retry_after(retry: Duration) -> Duration {
+    retry.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -10,126 +10,126 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Something that happened. Every event comes with its time, see [`crate::Core::step`].
+/// An input event. Its time is passed to [`crate::Core::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A catalogue; ignored unless its revision is higher than the one in force.
+    /// A new catalogue; ignored unless its revision is higher than the current one.
     ///
-    /// It comes as a document and gets its keys here. Were it resolved elsewhere, against a catalogue
-    /// that is no longer in force, one key could name two entries, and requests under way would go
+    /// The core assigns the keys itself. If the document were resolved elsewhere, against an
+    /// outdated catalogue, one key could refer to two entries, and requests in flight would be sent
     /// to the wrong one.
     Catalog {
-        /// Its number.
+        /// Revision of the catalogue.
         revision: Revision,
-        /// What operators wrote; must have been checked.
+        /// The document as written by operators; must be valid by [`CatalogDoc::check`].
         doc: Arc<CatalogDoc>,
     },
-    /// The platform's instance list; ignored when its revision is lower than the one known.
+    /// The platform's instance list; ignored if its revision is lower than the known one.
     Instances(InstanceList),
     /// A runner reported its load.
     Load {
-        /// Whose report it is.
+        /// The reporting runner.
         runner: RunnerKey,
-        /// Report.
+        /// Its report.
         report: LoadReport,
     },
-    /// A runner's load report could not be had.
+    /// Polling a runner for its load failed.
     LoadMissing {
-        /// The runner that was asked.
+        /// The polled runner.
         runner: RunnerKey,
     },
-    /// A request wants a runner.
+    /// A request needs a runner.
     Request(RunnerRequest),
-    /// A request no longer wants a runner: its caller left while it waited, or between two runners.
-    /// A granted request is not forgotten but done.
+    /// A request no longer needs a runner, because its caller disconnected while it was queued or
+    /// between two attempts. Ignored for a granted request, which ends by [`Event::Done`].
     Cancel(Ticket),
-    /// The first token, or the answer's head, of a granted request came. It ends the suspicion of
-    /// the runner at once, where the request may go on for minutes.
+    /// The first token or the response header of a granted request arrived. Clears the suspicion of
+    /// the runner immediately, as the request may run for minutes until it is done.
     Started(Ticket),
-    /// A granted request ended at its runner.
+    /// A granted request ended.
     Done(Done),
-    /// How many other nodes take traffic, and what they use of the limits.
+    /// Number of other nodes that serve traffic, and their usage of the limits.
     Peers(PeerUse),
-    /// Time has passed. Send one at least every [`crate::core::TICK`].
+    /// Periodic tick; must be sent at least every [`crate::core::TICK`].
     Tick,
 }
 
-/// A request that wants a runner.
+/// A request for a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerRequest {
-    /// Name of this request for a runner; an [`Purpose::Retry`] has the ticket of the [`Done`] that
-    /// it follows.
+    /// Identifier of the request; a [`Purpose::Retry`] reuses the ticket of the preceding [`Done`].
     pub ticket: Ticket,
-    /// Entry that must serve it.
+    /// Requested entry.
     pub entry: EntryKey,
-    /// Account that pays for it.
+    /// Account whose limits apply.
     pub account: AccountKey,
-    /// XXH64 of the prompt's prefix; `None` where there is no prompt.
+    /// XXH64 hash of the prompt prefix; `None` if there is no prompt.
     pub prefix: Option<u64>,
-    /// The only version that may serve it: set for every attempt but the first.
+    /// Only version that may serve the request; set for every attempt but the first.
     pub pin: Option<CompactString>,
-    /// Runner that has just failed this request.
+    /// Runner that has just failed the request.
     pub avoid: Option<RunnerKey>,
-    /// Why it is asked.
+    /// Purpose of the request.
     pub purpose: Purpose,
 }
 
-/// Why a runner is asked for.
+/// Purpose of a request for a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// The request's first runner: admitted against limits, may wait in the queue.
+    /// First runner of a request. Admitted against the limits; may wait in the queue.
     First,
-    /// Another runner after one failed: already admitted, draws on the retry budget, and goes
-    /// before all first requests.
+    /// Another runner after a failure. Already admitted, consumes retry budget, and has priority
+    /// over all first requests.
     Retry,
-    /// The caller's own resume after a cut: admitted again, but no first token is to be made.
+    /// Resumption of an interrupted stream by its caller. Admitted again, but queued ahead of first
+    /// requests, as the answer has already begun.
     Resume,
 }
 
-/// How a granted request ended.
+/// End of a granted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Done {
     /// The request.
     pub ticket: Ticket,
-    /// What came of it.
+    /// Outcome of the request at its runner.
     pub verdict: Verdict,
-    /// Time from the grant to the first token or the answer's head, if there was one.
+    /// Time from the grant to the first token or the response header, if one arrived.
     pub first: Option<Duration>,
-    /// Tokens taken from this runner.
+    /// Number of tokens received from this runner.
     pub tokens: u32,
-    /// Whether another runner will be asked for; the request then keeps its admission.
+    /// Whether another runner will be requested; the request then keeps its admission.
     pub will_retry: bool,
 }
 
 impl Done {
-    /// The end of a request whose caller left before anything came back.
+    /// Returns the end of a request whose caller disconnected before any response arrived.
     pub fn cancelled(ticket: Ticket) -> Done {
         Done { ticket, verdict: Verdict::Cancelled, first: None, tokens: 0, will_retry: false }
     }
 }
 
-/// What came of a granted request.
+/// Outcome of a granted request at its runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// Complete.
+    /// The response was complete.
     Ok,
-    /// The connection could not be made or broke.
+    /// The connection failed or was reset.
     Broken,
-    /// Silence longer than the bound.
+    /// The runner sent nothing for longer than the entry's time limit.
     Stalled,
-    /// Error status.
+    /// The runner responded with an error status.
     Rejected,
-    /// The runner's stream broke its rules: a skipped index, an end without a finish.
+    /// The stream violated the protocol, such as by a skipped index or an end without a finish.
     Garbled,
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
 }
 
-/// What the other nodes use of the limits.
+/// Usage of the limits by the other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerUse {
-    /// Other nodes taking traffic.
+    /// Number of other nodes that serve traffic.
     pub nodes: u32,
-    /// Requests running at them, by entry and account.
+    /// Requests running at the other nodes, by entry and account.
     pub running: Vec<(EntryKey, AccountKey, u32)>,
 }
--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -1,7 +1,7 @@
-//! One generation: which tokens count, and what to do when a runner is lost.
+//! State machine of one generation: which tokens to deliver, and what to do when a runner is lost.
 //!
-//! The answer to a caller is the concatenation of what several runners wrote. This machine sees every
-//! token and lets each index through once, in order, from the current attempt only.
+//! The answer to a caller may be concatenated from the output of several runners. The state machine
+//! examines every token and accepts each index once, in order, from the current attempt only.
 
 pub mod event_id;
 
@@ -20,71 +20,74 @@
     std::sync::LazyLock,
 };
 
-/// Most bytes of one token's text. A longer one is a broken runner: without the bound its stream
-/// could fill the node's memory.
+/// Maximum size of one token's text in bytes. A longer token is treated as a protocol violation:
+/// without the limit, the stream of a faulty runner could exhaust the node's memory.
 pub const MAX_TOKEN_BYTES: usize = 4_096;
-/// Most runners tried for one generation, so that a prompt that kills runners can't go through all.
+/// Maximum number of runners tried per generation, so that a prompt that crashes runners can't
+/// crash all of them.
 pub const MAX_ATTEMPTS: Attempt = 8;
 
 static CHART: LazyLock<Chart<Phase, Signal>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../../../charts/generation.json")).expect("checked by a test")
+    Chart::parse(include_str!("../../../charts/generation.json"))
+        .expect("charts/generation.json is valid")
 });
 
-/// Where a generation is in its life; see `charts/generation.json`.
+/// State of a generation; see `charts/generation.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Wants a runner.
+    /// Waiting for a runner.
     Asking,
-    /// A runner writes.
+    /// A runner is sending tokens.
     Streaming,
-    /// The whole answer was delivered.
+    /// The complete answer was delivered.
     Complete,
-    /// Part of it was delivered and no more will come.
+    /// A part of the answer was delivered, and the rest can't be.
     Partial,
-    /// Nothing was delivered and nothing will come.
+    /// Nothing was delivered, and nothing can be.
     Refused,
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
 }
 
-/// What moves a generation along its chart.
+/// Input of the state chart of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Signal {
-    /// A runner was found.
+    /// A runner was granted.
     Granted,
-    /// The runner died, stalled or broke the rules.
+    /// The runner died, stalled or violated the protocol.
     Lost,
     /// The last token was delivered.
     Finished,
-    /// No runner, and nothing delivered so far.
+    /// No runner is available and nothing has been delivered.
     Refused,
-    /// No runner, and something delivered.
+    /// No runner is available and a part has been delivered.
     Cut,
-    /// The caller left.
+    /// The caller disconnected.
     Left,
 }
 
 /// What to do with a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenAction {
-    /// It is the next one: deliver it.
+    /// It is the expected token: deliver it.
     Deliver,
-    /// Of an older attempt, or delivered before: drop it.
+    /// It belongs to an older attempt or was already delivered: drop it.
     Drop,
-    /// One before it is missing, or it is over-long: the runner can't be believed any more.
+    /// A previous token is missing, or the token exceeds the answer's limit or the maximum size:
+    /// the runner's stream can't be trusted.
     Garbled,
 }
 
-/// A generation as seen by the node that serves it.
+/// A generation at the node that serves it.
 #[derive(Clone, Debug)]
 pub struct Generation {
     phase: Phase,
     attempt: Attempt,
-    tried: Attempt,
+    runners_tried: Attempt,
     next: Index,
     limit: Index,
     digest: Digest,
@@ -94,13 +97,13 @@
 }
 
 impl Generation {
-    /// A new generation of at most `limit` tokens. `seed` is the digest of whose request it is and
-    /// what it asks; `streamed` says that tokens reach the caller before the end.
+    /// Creates a generation of at most `limit` tokens. `seed` is the digest of account and request;
+    /// `streamed` means that tokens are sent to the caller before the answer is complete.
     pub fn new(seed: Digest, limit: Index, streamed: bool) -> Generation {
         Generation {
             phase: CHART.initial(),
             attempt: 0,
-            tried: 0,
+            runners_tried: 0,
             next: 0,
             limit,
             digest: seed.clone(),
@@ -110,13 +113,13 @@
         }
     }
 
-    /// Goes on after the event with this id, whose text the caller sent back. `None` when the text,
-    /// the request or the account isn't the one the id was made for.
+    /// Resumes a generation after the event with this id, with the text that the caller received.
+    /// Returns `None` if the id was not made for this text, request and account.
     pub fn resume(seed: Digest, limit: Index, id: &EventId, text: &str) -> Option<Generation> {
         let mut digest = seed.clone();
         digest.push(text);
-        let fits = digest.value() == id.digest && id.next <= limit;
-        fits.then(|| Generation {
+        let is_valid = digest.value() == id.digest && id.next <= limit;
+        is_valid.then(|| Generation {
             attempt: id.attempt,
             next: id.next,
             digest,
@@ -125,48 +128,48 @@
         })
     }
 
-    /// Where it is in its life.
+    /// Returns the state of the generation.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Index of the token wanted next.
+    /// Returns the index of the next expected token.
     pub fn next(&self) -> Index {
         self.next
     }
 
-    /// The only version that may go on with it; `None` while any may.
+    /// Returns the only version that may continue the generation; `None` if any version may.
     pub fn pin(&self) -> Option<&CompactString> {
         self.pin.as_ref()
     }
 
-    /// Number of the present attempt; 0 before the first.
+    /// Returns the number of the current attempt; 0 before the first.
     pub fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// Starts an attempt at a runner of `version`, and pins the generation to it: tokens of two
-    /// versions in one answer would be two answers mixed.
+    /// Starts an attempt at a runner of `version` and pins the generation to it, so that the answer
+    /// never mixes tokens of two versions. Returns the number of the attempt.
     pub fn start_attempt(&mut self, version: &CompactString) -> Attempt {
         self.step(Signal::Granted);
         self.attempt += 1;
-        self.tried += 1;
+        self.runners_tried += 1;
         self.pin = Some(version.clone());
         self.attempt
     }
 
-    /// Judges a token that the present runner wrote under `attempt`.
+    /// Returns what to do with a token received for `attempt`.
     ///
-    /// A runner that was paused can wake and go on writing an old attempt, also on a connection that
-    /// was used again; the caller would see tokens twice or of another generation. The attempt
-    /// number and the index together name each token of the answer once, so dropping all others is
-    /// enough.
+    /// A runner resuming after a pause can continue to send tokens of an old attempt, even on a
+    /// connection that has been reused. The caller would receive duplicate tokens or tokens of
+    /// another generation. Attempt number and index uniquely identify each token of the answer, so
+    /// dropping all others is sufficient.
     pub fn accept(&mut self, attempt: Attempt, token: &Token) -> TokenAction {
         if attempt != self.attempt || token.index < self.next {
             return TokenAction::Drop;
         }
-        let fits = token.index == self.next && self.next < self.limit;
-        if !fits || token.text.len() > MAX_TOKEN_BYTES {
+        let is_valid = token.index == self.next && self.next < self.limit;
+        if !is_valid || token.text.len() > MAX_TOKEN_BYTES {
             return TokenAction::Garbled;
         }
         self.next += 1;
@@ -174,18 +177,19 @@
         TokenAction::Deliver
     }
 
-    /// Whether the runner's own count at its finish is what was delivered. A smaller answer than the
-    /// runner says would miss tokens at the end, where no later index shows the gap.
+    /// Completes the generation if the runner's final token count matches the number of delivered
+    /// tokens, and returns whether it does. A mismatch means that tokens at the end are missing,
+    /// where no later index reveals the gap.
     pub fn finish(&mut self, finish: &Finish) -> bool {
-        let whole = finish.tokens == self.next;
-        if whole {
+        let is_complete = finish.tokens == self.next;
+        if is_complete {
             self.step(Signal::Finished);
         }
-        whole
+        is_complete
     }
 
-    /// The present runner is lost; another has to be asked, unless the answer is whole already: then
-    /// only the runner's finish was lost, and this says what it was.
+    /// Records the loss of the current runner. Returns the finish reason if the answer is already
+    /// complete and only the runner's finish message was lost; otherwise another runner is needed.
     pub fn runner_lost(&mut self) -> Option<FinishReason> {
         self.step(Signal::Lost);
         if self.next < self.limit {
@@ -195,13 +199,13 @@
         Some(FinishReason::Length)
     }
 
-    /// Whether another runner may be tried.
+    /// Returns whether another runner may be tried.
     pub fn may_retry(&self) -> bool {
-        self.tried < MAX_ATTEMPTS
+        self.runners_tried < MAX_ATTEMPTS
     }
 
-    /// Starts from nothing with any version, which is possible while the caller has seen no token.
-    /// Says whether it was.
+    /// Restarts the generation from the first token, with any version, if the caller has received
+    /// no token. Returns whether it was restarted.
     pub fn try_restart(&mut self) -> bool {
         let unseen = !self.streamed || self.next == 0;
         if unseen && self.pin.is_some() {
@@ -213,14 +217,15 @@
         false
     }
 
-    /// No runner will be had. Ends it as refused or, when the caller holds a part, as partial.
+    /// Ends the generation for lack of a runner: as partial if the caller has received tokens, and
+    /// else as refused.
     pub fn give_up(&mut self) -> Phase {
         let seen = self.streamed && self.next > 0;
         self.step(if seen { Signal::Cut } else { Signal::Refused });
         self.phase
     }
 
-    /// The id of the last event delivered, from which the caller may resume anywhere.
+    /// Returns the id of the last delivered event, from which the caller can resume at any node.
     pub fn event_id(&self, request: &CompactString) -> EventId {
         EventId {
             request: request.clone(),
@@ -233,6 +238,8 @@
 
     fn step(&mut self, signal: Signal) {
         let next = CHART.next(self.phase, signal);
-        self.phase = next.unwrap_or_else(|| panic!("{signal:?} in phase {:?}", self.phase));
+        self.phase = next.unwrap_or_else(|| {
+            panic!("signal {signal:?} is not allowed in phase {:?}", self.phase)
+        });
     }
 }
--- a/crates/decide/src/generation/event_id.rs
+++ b/crates/decide/src/generation/event_id.rs
@@ -1,4 +1,4 @@
-//! Event ids of a caller's stream: they carry all that a node needs to go on after a cut.
+//! Event ids of a caller's stream, which contain all that a node needs to resume it.
 
 use {
     crate::id::{Attempt, Index},
@@ -13,27 +13,27 @@
 /// A result whose error is [`BadEventId`].
 pub type Result<T> = std::result::Result<T, BadEventId>;
 
-/// Most bytes of an event id that is looked at.
+/// Maximum size of an event id in bytes; longer ids are rejected unread.
 pub const MAX_EVENT_ID_BYTES: usize = 256;
 
-/// Not an event id of ours.
+/// Error of parsing an event id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("not an event id of this system")]
+#[error("invalid event id: expected `REQUEST.ATTEMPT.NEXT.DIGEST.VERSION`")]
 pub struct BadEventId;
 
-/// The position after one event of a stream, written `REQUEST.ATTEMPT.NEXT.DIGEST.VERSION`.
+/// Position after one event of a stream, formatted as `REQUEST.ATTEMPT.NEXT.DIGEST.VERSION`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventId {
-    /// The request's identifier.
+    /// Identifier of the request.
     pub request: CompactString,
-    /// Attempt that wrote the event.
+    /// Attempt that produced the event.
     pub attempt: Attempt,
     /// Index of the next token.
     pub next: Index,
-    /// Digest of the account, the request and the text up to here.
+    /// Digest of account, request and the text up to this position.
     pub digest: u64,
-    /// Version that wrote the text.
+    /// Version that produced the text.
     pub version: CompactString,
 }
 
@@ -63,33 +63,34 @@
     }
 }
 
-/// A digest that grows with the text, whatever pieces the text comes in.
+/// Incremental digest of account, request and text, independent of how the text is split.
 ///
-/// It guards against a caller's mistake (text of another request, a piece missing), not against
-/// forgery: who forges an id can only spoil an answer to himself.
+/// It detects mistakes of a caller, such as text of another request or a missing piece, but not
+/// forgery: a caller that forges an id can only corrupt its own answer.
 #[derive(Clone)]
 pub struct Digest(Xxh64);
 
 impl Digest {
-    /// The digest of a request before any text.
+    /// Returns the digest of a request before any text.
     pub fn new(account: &str, model: &str, prompt: &str, limit: Index) -> Digest {
-        /// Stands between fields, so that moving a byte from one to the next changes the digest.
-        const GAP: &[u8] = &[0xff];
+        /// Separator of the fields, so that moving a byte from one field to the next changes the
+        /// digest.
+        const SEPARATOR: &[u8] = &[0xff];
         let mut hash = Xxh64::new(0);
         for field in [account, model, prompt] {
             hash.update(field.as_bytes());
-            hash.update(GAP);
+            hash.update(SEPARATOR);
         }
         hash.update(&limit.to_le_bytes());
         Digest(hash)
     }
 
-    /// Adds text.
+    /// Appends text.
     pub fn push(&mut self, text: &str) {
         self.0.update(text.as_bytes());
     }
 
-    /// Its value now.
+    /// Returns the current value.
     pub fn value(&self) -> u64 {
         self.0.digest()
     }
--- a/crates/decide/src/id.rs
+++ b/crates/decide/src/id.rs
@@ -1,4 +1,4 @@
-//! Keys into the core's arenas and other small identifiers.
+//! Arena keys of the core and other small identifiers.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,31 +6,32 @@
 };
 
 new_key_type! {
-    /// A catalogue entry; keeps its key over catalogue revisions.
+    /// Key of a catalogue entry, stable across catalogue revisions.
     pub struct EntryKey;
-    /// A client account; keeps its key over catalogue revisions.
+    /// Key of a client account, stable across catalogue revisions.
     pub struct AccountKey;
-    /// A runner known from the instance list.
+    /// Key of a runner known from the instance list.
     pub struct RunnerKey;
-    /// A node known from the instance list or from its peer messages.
+    /// Key of a node known from the instance list or from peer messages.
     pub struct NodeKey;
-    /// The runners of one entry and version.
+    /// Key of the pool of runners of one entry and version.
     pub struct PoolKey;
 }
 
-/// Names one request for a runner, from [`crate::Event::Request`] to its end. Chosen by the caller of
-/// the core, unique within a node's life.
+/// Identifier of a request for a runner, from its [`crate::Event::Request`] to its end. Chosen by
+/// the user of the core and unique for the lifetime of the node process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// One life of a node: random at start, so that a restarted node is never taken for the old one.
+/// Incarnation of a node, chosen at random at start so that a restarted node is distinguishable
+/// from its predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Deserialize, Serialize)]
 pub struct Incarnation(pub u64);
 
-/// Number of a whole catalogue; 0 before the first.
+/// Revision number of a catalogue; 0 before the first one.
 pub type Revision = u64;
-/// Which try of a generation, from 1.
+/// Number of an attempt of a generation, from 1.
 pub type Attempt = u32;
-/// Position of a token in the whole answer, from 0.
+/// Index of a token in the complete answer, from 0.
 pub type Index = u32;
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decision core: state plus [`Event`]s in, typed [`Action`]s out.
+//! Deterministic decision core: processes [`Event`]s and returns typed [`Action`]s.
 //!
-//! Nothing here opens a socket, reads a file, starts a task or asks the time. The same seed and the
-//! same list of timed events give the same actions every time, so a bench, a differential test or a
-//! scenario can drive it alone through [`Core::step`].
+//! This crate performs no I/O, spawns no tasks and reads no clock. The same seed and the same
+//! sequence of timed events always produce the same actions, so benchmarks, differential tests and
+//! scenarios can drive it without a runtime through [`Core::step`].
 
 pub mod action;
 mod budget;
--- a/crates/decide/src/load.rs
+++ b/crates/decide/src/load.rs
@@ -1,62 +1,62 @@
-//! How loaded a runner is, from its lagging reports and from what this node itself has sent.
+//! Load of a runner, estimated from its delayed reports and the requests of this node.
 
 use bilberryfront_wire::runner::LoadReport;
 
-/// Slots assumed of a runner that has not reported yet.
-const UNKNOWN_SLOTS: u32 = 8;
-/// One request more for every so many slots may be sent, so that a runner has the next one at hand
-/// while its report that a slot is free is still under way.
-const OVERCOMMIT: u32 = 8;
+/// Slots assumed for a runner that has not reported any.
+const DEFAULT_SLOTS: u32 = 8;
+/// Number of slots per request sent in excess of them. The excess requests keep a runner busy while
+/// the report that a slot became free is in transit.
+const SLOTS_PER_OVERCOMMIT: u32 = 8;
 
 /// Load of one runner.
 ///
-/// A report is about one reporting period old, so the requests that this node has sent since are
-/// not in it. Counting them is what keeps a node from sending a whole burst to the runner that
-/// looked idle a moment ago. Hence only the other nodes' part is taken from the report; this
-/// node's own part is exact.
+/// A report is about one reporting period old and doesn't include the requests that this node has
+/// sent since. They must be counted, or a node would send a whole burst to a runner that was idle
+/// at its last report. Only the share of the other nodes is therefore taken from the report; the
+/// share of this node is exact.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
-    /// Requests of this node now at the runner.
+    /// Requests of this node currently at the runner.
     own: u32,
-    /// `own` when the last report came.
-    reported: u32,
-    /// Requests of all other nodes, by the last report.
+    /// `own` at the time of the last report.
+    own_at_report: u32,
+    /// Requests of all other nodes according to the last report.
     others: u32,
-    /// Requests that run at once without slowing down; 0 when unknown.
+    /// Requests that run concurrently without slowing down; 0 if unknown.
     slots: u32,
 }
 
 impl Load {
-    /// This node sent a request.
-    pub(crate) fn sent(&mut self) {
+    /// Records a request sent by this node.
+    pub(crate) fn record_sent(&mut self) {
         self.own += 1;
     }
 
-    /// A request of this node ended.
-    pub(crate) fn ended(&mut self) {
+    /// Records the end of a request of this node.
+    pub(crate) fn record_ended(&mut self) {
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Takes the runner's report.
-    pub(crate) fn report(&mut self, report: &LoadReport) {
+    /// Updates the load from a report of the runner.
+    pub(crate) fn apply_report(&mut self, report: &LoadReport) {
         let total = report.running.saturating_add(report.waiting);
-        self.others = total.saturating_sub(self.reported);
-        self.reported = self.own;
+        self.others = total.saturating_sub(self.own_at_report);
+        self.own_at_report = self.own;
         self.slots = report.slots;
     }
 
-    /// Whether one more request would run without slowing down the others.
-    pub(crate) fn fits(&self) -> bool {
+    /// Returns whether one more request would run without slowing down the others.
+    pub(crate) fn has_free_slot(&self) -> bool {
         self.total() < self.slots()
     }
 
-    /// Whether one more request may be sent at all.
-    pub(crate) fn room(&self) -> bool {
-        self.total() < self.slots() + self.slots().div_ceil(OVERCOMMIT)
+    /// Returns whether one more request may be sent.
+    pub(crate) fn has_room(&self) -> bool {
+        self.total() < self.slots() + self.slots().div_ceil(SLOTS_PER_OVERCOMMIT)
     }
 
-    /// Whether `self` is less loaded than `other`, in proportion to their slots.
-    pub(crate) fn less(&self, other: &Load) -> bool {
+    /// Returns whether `self` is less loaded than `other`, relative to the number of slots.
+    pub(crate) fn is_less_than(&self, other: &Load) -> bool {
         let (a, b) = (u64::from(self.total()), u64::from(other.total()));
         a * u64::from(other.slots()) < b * u64::from(self.slots())
     }
@@ -66,6 +66,6 @@
     }
 
     fn slots(&self) -> u32 {
-        if self.slots == 0 { UNKNOWN_SLOTS } else { self.slots }
+        if self.slots == 0 { DEFAULT_SLOTS } else { self.slots }
     }
 }
--- a/crates/decide/src/location.rs
+++ b/crates/decide/src/location.rs
@@ -1,11 +1,11 @@
-//! Where a node stands.
+//! Location of a node.
 
 use compact_str::CompactString;
 
-/// Where a node stands.
+/// Region and failure domain of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Location {
-    /// Region; the instance list names none, so routing goes by the domain alone.
+    /// Region. The instance list contains no regions, so routing uses the failure domain only.
     pub region: CompactString,
     /// Failure domain, named as in the instance list.
     pub domain: CompactString,
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait at this node for a runner of one entry.
+//! Queue of the requests of one entry that wait at this node for a runner.
 
 use {
     crate::{
@@ -12,131 +12,147 @@
     tokio::time::Instant,
 };
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiter {
+pub(crate) struct QueuedRequest {
     /// The request.
-    pub(crate) ask: RunnerRequest,
-    /// When it is refused.
-    pub(crate) until: Instant,
+    pub(crate) request: RunnerRequest,
+    /// Time at which the request is rejected.
+    pub(crate) deadline: Instant,
 }
 
-/// The three lanes of an entry's queue, in the order in which they go.
+/// Queue of an entry, divided into three priority classes. Retries come before resumes, and resumes
+/// before first requests.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    /// Admitted requests that lost their runner.
-    pub(crate) agains: VecDeque<Waiter>,
-    /// Callers that lost their node.
-    pub(crate) resumes: VecDeque<Waiter>,
-    firsts: BTreeMap<AccountKey, VecDeque<Waiter>>,
-    len: usize,
+    /// Admitted requests whose runner failed.
+    pub(crate) retries: VecDeque<QueuedRequest>,
+    /// Requests of callers that resume an interrupted stream.
+    pub(crate) resumes: VecDeque<QueuedRequest>,
+    firsts: BTreeMap<AccountKey, VecDeque<QueuedRequest>>,
+    first_count: usize,
 }
 
 impl Queue {
-    /// Whether nothing waits.
+    /// Returns whether no request is waiting.
     pub(crate) fn is_empty(&self) -> bool {
-        self.agains.is_empty() && self.resumes.is_empty() && self.len == 0
+        self.retries.is_empty() && self.resumes.is_empty() && self.first_count == 0
     }
 
-    /// Requests that count against the entry's bound: those not admitted yet.
+    /// Returns the number of requests that count towards the entry's queue limit: those not
+    /// admitted.
     pub(crate) fn len(&self) -> usize {
-        self.len + self.resumes.len()
+        self.first_count + self.resumes.len()
     }
 
-    /// Puts a request at the end of its lane.
-    pub(crate) fn push(&mut self, waiter: Waiter) {
-        match waiter.ask.purpose {
-            Purpose::Retry => self.agains.push_back(waiter),
-            Purpose::Resume => self.resumes.push_back(waiter),
+    /// Appends a request to its priority class.
+    pub(crate) fn push(&mut self, queued: QueuedRequest) {
+        match queued.request.purpose {
+            Purpose::Retry => self.retries.push_back(queued),
+            Purpose::Resume => self.resumes.push_back(queued),
             Purpose::First => {
-                self.len += 1;
-                self.firsts.entry(waiter.ask.account).or_default().push_back(waiter);
+                self.first_count += 1;
+                self.firsts.entry(queued.request.account).or_default().push_back(queued);
             }
         }
     }
 
-    /// Of those who go ahead of the firsts, the first of each version: a version with no room must
-    /// not hold up the others.
+    /// Returns the first retry and the first resume of each pinned version, in queue order. A
+    /// version without capacity thus doesn't block the others.
     pub(crate) fn heads(&self) -> Vec<RunnerRequest> {
         let mut heads = Vec::<RunnerRequest>::new();
-        for ask in self.agains.iter().chain(&self.resumes).map(|w| &w.ask) {
-            if !heads.iter().any(|h| (h.purpose, &h.pin) == (ask.purpose, &ask.pin)) {
-                heads.push(ask.clone());
+        for request in self.retries.iter().chain(&self.resumes).map(|w| &w.request) {
+            if !heads.iter().any(|h| (h.purpose, &h.pin) == (request.purpose, &request.pin)) {
+                heads.push(request.clone());
             }
         }
         heads
     }
 
-    /// Accounts whose first requests wait, the one with the least running first, then the one that
-    /// has waited longest.
+    /// Returns the accounts with waiting first requests, ordered by the number of running requests,
+    /// lowest first, then by the deadline of their first waiting request.
     ///
-    /// An account that floods the queue runs more than the others and so comes after them: its
-    /// flood delays only itself.
-    pub(crate) fn order(&self, running: impl Fn(AccountKey) -> u32) -> Vec<AccountKey> {
+    /// An account that floods the queue has more running requests than the others and is served
+    /// after them, so that it delays only its own requests.
+    pub(crate) fn accounts_by_priority(
+        &self,
+        running: impl Fn(AccountKey) -> u32,
+    ) -> Vec<AccountKey> {
         let heads = self.firsts.iter().filter_map(|(a, q)| Some((*a, q.front()?)));
-        let mut order = heads.map(|(a, w)| (running(a), w.until, a)).collect::<Vec<_>>();
+        let mut order = heads.map(|(a, w)| (running(a), w.deadline, a)).collect::<Vec<_>>();
         order.sort_unstable();
         order.into_iter().map(|(.., a)| a).collect()
     }
 
-    /// The first request of an account's own.
-    pub(crate) fn head(&self, account: AccountKey) -> Option<&Waiter> {
+    /// Returns the oldest waiting first request of an account.
+    pub(crate) fn head(&self, account: AccountKey) -> Option<&QueuedRequest> {
         self.firsts.get(&account)?.front()
     }
 
-    /// Takes an account's first request.
-    pub(crate) fn pop(&mut self, account: AccountKey) -> Option<Waiter> {
-        let lane = self.firsts.get_mut(&account)?;
-        let waiter = lane.pop_front();
-        self.shrink(account, usize::from(waiter.is_some()));
-        waiter
+    /// Removes and returns the oldest waiting first request of an account.
+    pub(crate) fn pop(&mut self, account: AccountKey) -> Option<QueuedRequest> {
+        let queue = self.firsts.get_mut(&account)?;
+        let queued = queue.pop_front();
+        self.record_removed(account, usize::from(queued.is_some()));
+        queued
     }
 
-    /// Takes the newest request of the account that has most of them waiting. Dropping from the
-    /// longest lane leaves a place in a full queue to the account that has few.
-    pub(crate) fn shed(&mut self) -> Option<Waiter> {
+    /// Removes and returns the newest request of the account with the most waiting ones. Shedding
+    /// from the longest queue leaves room for accounts with few requests when the queue is full.
+    pub(crate) fn shed(&mut self) -> Option<QueuedRequest> {
         let longest = self.firsts.iter().max_by_key(|(a, q)| (q.len(), Reverse(**a)));
         let account = longest.map(|(a, _)| *a);
         let Some(account) = account else { return self.resumes.pop_back() };
-        let waiter = self.firsts.get_mut(&account)?.pop_back();
-        self.shrink(account, usize::from(waiter.is_some()));
-        waiter
+        let queued = self.firsts.get_mut(&account)?.pop_back();
+        self.record_removed(account, usize::from(queued.is_some()));
+        queued
     }
 
-    /// Takes a request out, wherever it is.
-    pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<Waiter> {
-        let mut taken = self.take(|w| w.ask.ticket == ticket);
-        taken.pop()
+    /// Removes and returns the request with the given ticket, from any priority class.
+    pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
+        let mut removed = self.remove_matching(|w| w.request.ticket == ticket);
+        removed.pop()
     }
 
-    /// Takes out all requests that `drop` names, in the order of the lanes.
-    pub(crate) fn take(&mut self, drop: impl Fn(&Waiter) -> bool) -> Vec<Waiter> {
-        let mut taken = Vec::new();
+    /// Removes and returns all requests that match `predicate`, in the order of the priority
+    /// classes.
+    pub(crate) fn remove_matching(
+        &mut self,
+        predicate: impl Fn(&QueuedRequest) -> bool,
+    ) -> Vec<QueuedRequest> {
+        let mut removed = Vec::new();
         let firsts = self.firsts.values_mut();
-        for lane in [&mut self.agains, &mut self.resumes].into_iter().chain(firsts) {
-            if lane.iter().any(&drop) {
-                let (out, rest) = lane.drain(..).partition::<VecDeque<_>, _>(&drop);
-                taken.extend(out);
-                *lane = rest;
+        for queue in [&mut self.retries, &mut self.resumes].into_iter().chain(firsts) {
+            if queue.iter().any(&predicate) {
+                let (out, rest) = queue.drain(..).partition::<VecDeque<_>, _>(&predicate);
+                removed.extend(out);
+                *queue = rest;
             }
         }
         self.firsts.retain(|_, q| !q.is_empty());
-        self.len = self.firsts.values().map(VecDeque::len).sum();
-        taken
+        self.first_count = self.firsts.values().map(VecDeque::len).sum();
+        removed
     }
 
-    /// Requests that go before the newest first request of this account's: all of its own, and of
-    /// each other account as many as it takes to run as much.
-    pub(crate) fn ahead(&self, account: AccountKey, running: impl Fn(AccountKey) -> u32) -> usize {
+    /// Returns the number of requests served before the newest first request of this account: all
+    /// older ones of its own, and of each other account as many as it needs to reach the same
+    /// number of running requests.
+    pub(crate) fn requests_ahead(
+        &self,
+        account: AccountKey,
+        running: impl Fn(AccountKey) -> u32,
+    ) -> usize {
         let own = self.firsts.get(&account).map_or(0, VecDeque::len);
-        let most = running(account) as usize + own;
-        let turns =
-            self.firsts.iter().map(|(a, q)| q.len().min(most - most.min(running(*a) as usize)));
-        self.agains.len() + self.resumes.len() + turns.sum::<usize>().saturating_sub(1)
+        let own_total = running(account) as usize + own;
+        let ahead = self
+            .firsts
+            .iter()
+            .map(|(a, q)| q.len().min(own_total - own_total.min(running(*a) as usize)));
+        self.retries.len() + self.resumes.len() + ahead.sum::<usize>().saturating_sub(1)
     }
 
-    fn shrink(&mut self, account: AccountKey, by: usize) {
-        self.len -= by;
+    fn record_removed(&mut self, account: AccountKey, count: usize) {
+        self.first_count -= count;
         if self.firsts.get(&account).is_some_and(VecDeque::is_empty) {
             self.firsts.remove(&account);
         }
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -1,15 +1,16 @@
-//! Which runner of an entry and version gets a request.
+//! Selection of a runner among those of one entry and version.
 //!
-//! In this order: a runner that is due for a probe; a runner that holds the prompt's prefix; the
-//! runner that every node would choose for the prefix; the less loaded of two random runners, first
-//! in the own failure domain; any runner with room; and, when all are suspect, the one whose failure
-//! is longest ago. A step's candidates are bounded, so the cost doesn't grow with the runners.
+//! Candidates are tried in this order: a runner that is due for a probe; a runner that has the
+//! prompt prefix cached; the runner that the prefix hashes to at every node; the less loaded of two
+//! random runners, local failure domain first; any runner with capacity; and, if all runners are
+//! suspect, the one whose last failure is the oldest. Each step looks at a bounded number of
+//! candidates, so that the cost doesn't grow with the number of runners.
 
 use {
     crate::{
-        cache::Holders,
+        cache::PrefixHolders,
         id::RunnerKey,
-        runner::{BACKOFF_FIRST, Runner, State},
+        runner::{INITIAL_BACKOFF, Runner, State},
     },
     compact_str::CompactString,
     rand::{Rng, rngs::SmallRng},
@@ -19,35 +20,36 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Fewest runners of a pool that a node talks to, if there are so many.
-const SUBSET: usize = 64;
-/// Nodes that talk to each runner, on average, where `SUBSET` would give fewer.
-const REPLICAS: usize = 8;
-/// Most runners looked at in one search.
-const SCAN: usize = 64;
+/// Minimum size of a node's subset of a pool, if the pool has as many runners.
+const MIN_SUBSET: usize = 64;
+/// Average number of nodes that have a runner in their subset, where `MIN_SUBSET` gives fewer.
+const NODES_PER_RUNNER: usize = 8;
+/// Maximum number of runners examined in one search.
+const MAX_SCAN: usize = 64;
 
 /// Arena of runners.
 pub(crate) type Runners = SlotMap<RunnerKey, Runner>;
 
-/// What a request wants of its runner.
+/// Criteria for the selection of a runner.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Want {
-    /// Prefix of its prompt.
+pub(crate) struct Criteria {
+    /// Hash of the prompt prefix.
     pub(crate) prefix: Option<u64>,
-    /// Runner that has just failed it.
+    /// Runner that has just failed the request.
     pub(crate) avoid: Option<RunnerKey>,
-    /// Whether it may be a suspect's probe. One that has failed already may not.
-    pub(crate) probe: bool,
+    /// Whether the request may be used as a probe of a suspect. A request that has already failed
+    /// may not.
+    pub(crate) may_probe: bool,
 }
 
-/// Where a node stands in the choice of its subset.
+/// Properties of the node that determine its subset.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct View<'a> {
-    /// Tells the nodes apart.
+pub(crate) struct NodeView<'a> {
+    /// Seed, different at each node.
     pub(crate) seed: u64,
-    /// The node's failure domain.
+    /// Failure domain of the node.
     pub(crate) domain: &'a str,
-    /// Nodes taking traffic.
+    /// Number of nodes that serve traffic.
     pub(crate) nodes: usize,
 }
 
@@ -58,72 +60,74 @@
     pub(crate) entry: CompactString,
     /// The version.
     pub(crate) version: CompactString,
-    /// Believed holders of prefixes.
-    pub(crate) holders: Holders,
-    /// All of them, those that leave as well: they may come back.
+    /// Runners assumed to have each prefix cached.
+    pub(crate) holders: PrefixHolders,
+    /// All runners, including leaving ones, which may return.
     members: Vec<RunnerKey>,
-    /// Whether `subset` is all that may have requests.
-    whole: bool,
+    /// Whether `subset` contains all eligible runners.
+    is_complete: bool,
     subset: Vec<RunnerKey>,
-    near: Vec<RunnerKey>,
-    far: Vec<RunnerKey>,
+    local: Vec<RunnerKey>,
+    remote: Vec<RunnerKey>,
     suspects: Vec<RunnerKey>,
-    probes: Vec<RunnerKey>,
-    due: Option<Instant>,
-    homes: Vec<Vec<Home>>,
+    probeable: Vec<RunnerKey>,
+    next_probe: Option<Instant>,
+    hash_buckets: Vec<Vec<HashTarget>>,
 }
 
-/// A runner that prefixes can be hashed to.
+/// A runner that prefixes can hash to.
 #[derive(Clone, Copy, Debug)]
-struct Home {
+struct HashTarget {
     hash: u64,
     runner: RunnerKey,
 }
 
 impl Pool {
-    /// A pool with no runners.
+    /// Creates an empty pool.
     pub(crate) fn new(entry: CompactString, version: CompactString) -> Pool {
         Pool {
             entry,
             version,
-            holders: Holders::default(),
+            holders: PrefixHolders::default(),
             members: Vec::new(),
-            whole: true,
+            is_complete: true,
             subset: Vec::new(),
-            near: Vec::new(),
-            far: Vec::new(),
+            local: Vec::new(),
+            remote: Vec::new(),
             suspects: Vec::new(),
-            probes: Vec::new(),
-            due: None,
-            homes: Vec::new(),
+            probeable: Vec::new(),
+            next_probe: None,
+            hash_buckets: Vec::new(),
         }
     }
 
-    /// Adds a runner; [`Pool::choose`] must follow.
+    /// Adds a runner; [`Pool::choose_subset`] must be called afterwards.
     pub(crate) fn add(&mut self, runner: RunnerKey) {
         self.members.push(runner);
     }
 
-    /// Whether it has runners that may have requests.
-    pub(crate) fn serves(&self) -> bool {
+    /// Returns whether it has eligible runners.
+    pub(crate) fn has_eligible(&self) -> bool {
         !self.subset.is_empty()
     }
 
-    /// Runners to poll for load: eligible ones, and draining ones, as only their own report can end
-    /// the draining state.
-    pub(crate) fn watched(&self, runners: &Runners) -> impl Iterator<Item = RunnerKey> {
-        let leaving =
-            self.members.iter().filter(|k| runners.get(**k).is_some_and(Runner::withdrawn));
+    /// Returns the runners to poll for load: the subset, and runners leaving by their own report,
+    /// because only a further report can end that state.
+    pub(crate) fn polled(&self, runners: &Runners) -> impl Iterator<Item = RunnerKey> {
+        let leaving = self
+            .members
+            .iter()
+            .filter(|k| runners.get(**k).is_some_and(Runner::is_leaving_by_report));
         self.subset.iter().chain(leaving).copied()
     }
 
-    /// Chooses the subset anew after members came, left or moved to another pool, or the number of
-    /// nodes changed.
+    /// Recomputes the subset after members were added, removed or moved to another pool, or after
+    /// the number of nodes changed.
     ///
-    /// Half of a subset is in the own domain, and the rest evenly in the others, so that whichever
-    /// domain is lost, the entry still has runners here. Scores depend on node and runner alone, so
-    /// a subset changes no more than the members do.
-    pub(crate) fn choose(&mut self, runners: &Runners, view: View) {
+    /// Half of a subset is in the local failure domain and the rest is distributed evenly over the
+    /// others, so that the loss of any one domain leaves runners in the subset. Scores depend only
+    /// on node and runner, so that the subset changes no more than the members do.
+    pub(crate) fn choose_subset(&mut self, runners: &Runners, view: NodeView) {
         self.members.sort_unstable();
         self.members.dedup();
         let (entry, version) = (&self.entry, &self.version);
@@ -132,164 +136,197 @@
                 .get(*k)
                 .is_some_and(|r| r.instance.entry == *entry && r.instance.version == *version)
         });
-        let present = self.members.iter().copied().filter(|k| runners[*k].present());
-        let present = present.collect::<Vec<_>>();
-        let size = SUBSET.max((present.len() * REPLICAS).div_ceil(view.nodes.max(1)));
-        self.whole = present.len() <= size;
-        self.subset = match self.whole {
-            true => present,
-            false => sample(&present, runners, view, size),
+        let eligible = self.members.iter().copied().filter(|k| runners[*k].is_eligible());
+        let eligible = eligible.collect::<Vec<_>>();
+        let size = MIN_SUBSET.max((eligible.len() * NODES_PER_RUNNER).div_ceil(view.nodes.max(1)));
+        self.is_complete = eligible.len() <= size;
+        self.subset = match self.is_complete {
+            true => eligible,
+            false => sample_subset(&eligible, runners, view, size),
         };
-        self.sort(runners, view);
+        self.classify(runners, view);
     }
 
-    /// Sorts the subset by state and domain after a runner's state changed.
-    pub(crate) fn sort(&mut self, runners: &Runners, view: View) {
-        let domain = |k: &RunnerKey| runners[*k].instance.domain == view.domain;
+    /// Classifies the subset by state and domain after the state of a runner changed.
+    pub(crate) fn classify(&mut self, runners: &Runners, view: NodeView) {
+        let is_local = |k: &RunnerKey| runners[*k].instance.domain == view.domain;
         let (healthy, suspects) =
             self.subset.iter().partition::<Vec<_>, _>(|k| runners[**k].state() == State::Healthy);
         self.suspects = suspects;
-        self.probes = self.suspects.iter().copied().filter(|k| runners[*k].audible()).collect();
-        self.due = self.probes.iter().filter_map(|k| runners[*k].due()).min();
-        (self.near, self.far) = healthy.into_iter().partition(domain);
-        self.house(runners);
+        self.probeable =
+            self.suspects.iter().copied().filter(|k| runners[*k].is_probeable()).collect();
+        self.next_probe = self.probeable.iter().filter_map(|k| runners[*k].probe_at()).min();
+        (self.local, self.remote) = healthy.into_iter().partition(is_local);
+        self.build_hash_buckets(runners);
     }
 
-    /// Lays out the runners that prefixes are hashed to: all of them where every node talks to all,
-    /// so that all nodes choose alike; else those of the own domain.
-    fn house(&mut self, runners: &Runners) {
-        let far = if self.whole || self.near.is_empty() { &self.far[..] } else { &[] };
-        let buckets = self.subset.len().div_ceil(SCAN).next_power_of_two();
-        self.homes = vec![Vec::new(); buckets];
-        for &runner in self.near.iter().chain(far) {
+    /// Rebuilds the buckets of runners that prefixes hash to. These are all healthy runners if the
+    /// subset is complete, so that all nodes choose the same one, and else those of the local
+    /// domain.
+    fn build_hash_buckets(&mut self, runners: &Runners) {
+        let remote = if self.is_complete || self.local.is_empty() { &self.remote[..] } else { &[] };
+        let buckets = self.subset.len().div_ceil(MAX_SCAN).next_power_of_two();
+        self.hash_buckets = vec![Vec::new(); buckets];
+        for &runner in self.local.iter().chain(remote) {
             let hash = runners[runner].hash;
-            self.homes[bucket(hash, buckets)].push(Home { hash, runner });
+            self.hash_buckets[bucket(hash, buckets)].push(HashTarget { hash, runner });
         }
     }
 
-    /// Picks a runner with room, if there is one.
+    /// Picks a runner with capacity, if there is one.
     pub(crate) fn pick(
         &self,
         runners: &Runners,
         now: Instant,
         rng: &mut SmallRng,
-        want: &Want,
+        criteria: &Criteria,
     ) -> Option<RunnerKey> {
-        self.probe(runners, now, want)
-            .or_else(|| self.affine(runners, want))
-            .or_else(|| self.spread(runners, rng, want))
-            .or_else(|| self.last(runners, now, want))
+        self.pick_probe(runners, now, criteria)
+            .or_else(|| self.pick_by_prefix(runners, criteria))
+            .or_else(|| self.pick_least_loaded(runners, rng, criteria))
+            .or_else(|| self.pick_suspect(runners, now, criteria))
     }
 
-    fn probe(&self, runners: &Runners, now: Instant, want: &Want) -> Option<RunnerKey> {
-        if !want.probe || self.due.is_none_or(|due| due > now) {
+    fn pick_probe(
+        &self,
+        runners: &Runners,
+        now: Instant,
+        criteria: &Criteria,
+    ) -> Option<RunnerKey> {
+        if !criteria.may_probe || self.next_probe.is_none_or(|due| due > now) {
             return None;
         }
-        let due = |k: &RunnerKey| runners[*k].due().is_some_and(|due| due <= now);
-        self.probes.iter().copied().find(|k| due(k) && runners[*k].load.room())
+        let is_due = |k: &RunnerKey| runners[*k].probe_at().is_some_and(|due| due <= now);
+        self.probeable.iter().copied().find(|k| is_due(k) && runners[*k].load.has_room())
     }
 
-    /// The prefix's holder or home, while it would not be slowed down.
-    fn affine(&self, runners: &Runners, want: &Want) -> Option<RunnerKey> {
-        let prefix = want.prefix?;
-        let good = |k: &RunnerKey| {
-            want.avoid != Some(*k)
-                && runners.get(*k).is_some_and(|r| r.state() == State::Healthy && r.load.fits())
+    /// Picks the least loaded holder of the prefix, or the runner that the prefix hashes to, if it
+    /// has a free slot.
+    fn pick_by_prefix(&self, runners: &Runners, criteria: &Criteria) -> Option<RunnerKey> {
+        let prefix = criteria.prefix?;
+        let is_suitable = |k: &RunnerKey| {
+            criteria.avoid != Some(*k)
+                && runners
+                    .get(*k)
+                    .is_some_and(|r| r.state() == State::Healthy && r.load.has_free_slot())
         };
         self.holders
             .of(prefix)
-            .filter(good)
-            .reduce(|a, b| lesser(runners, a, b))
-            .or_else(|| self.home(prefix, want.avoid).filter(good))
+            .filter(is_suitable)
+            .reduce(|a, b| less_loaded(runners, a, b))
+            .or_else(|| self.hash_target(prefix, criteria.avoid).filter(is_suitable))
     }
 
-    /// Rendezvous hashing: the highest score wins, so a runner that comes or goes moves no other
-    /// runner's prefixes.
-    fn home(&self, prefix: u64, avoid: Option<RunnerKey>) -> Option<RunnerKey> {
-        let first = bucket(mix(prefix, 0), self.homes.len());
-        (0..self.homes.len()).map(|i| &self.homes[(first + i) % self.homes.len()]).find_map(
-            |homes| {
-                let fit = homes.iter().filter(|h| avoid != Some(h.runner));
-                fit.max_by_key(|h| mix(prefix, h.hash)).map(|h| h.runner)
-            },
-        )
+    /// Returns the runner that the prefix hashes to. With rendezvous hashing the highest score
+    /// wins, so adding or removing a runner doesn't move the prefixes of other runners.
+    fn hash_target(&self, prefix: u64, avoid: Option<RunnerKey>) -> Option<RunnerKey> {
+        let first = bucket(mix(prefix, 0), self.hash_buckets.len());
+        (0..self.hash_buckets.len())
+            .map(|i| &self.hash_buckets[(first + i) % self.hash_buckets.len()])
+            .find_map(|targets| {
+                let candidates = targets.iter().filter(|t| avoid != Some(t.runner));
+                candidates.max_by_key(|t| mix(prefix, t.hash)).map(|t| t.runner)
+            })
     }
 
-    fn spread(&self, runners: &Runners, rng: &mut SmallRng, want: &Want) -> Option<RunnerKey> {
-        let near = two(runners, &self.near, rng, want.avoid);
-        if near.is_some_and(|k| runners[k].load.fits()) {
-            return near;
+    fn pick_least_loaded(
+        &self,
+        runners: &Runners,
+        rng: &mut SmallRng,
+        criteria: &Criteria,
+    ) -> Option<RunnerKey> {
+        let local = less_loaded_of_two(runners, &self.local, rng, criteria.avoid);
+        if local.is_some_and(|k| runners[k].load.has_free_slot()) {
+            return local;
         }
-        let far = two(runners, &self.far, rng, want.avoid);
-        if far.is_some_and(|k| runners[k].load.fits()) {
-            return far;
+        let remote = less_loaded_of_two(runners, &self.remote, rng, criteria.avoid);
+        if remote.is_some_and(|k| runners[k].load.has_free_slot()) {
+            return remote;
         }
-        self.scan(runners, rng, |k, r| r.load.fits() && want.avoid != Some(k)).or_else(|| {
-            let best = near.into_iter().chain(far).reduce(|a, b| lesser(runners, a, b));
-            best.filter(|k| runners[*k].load.room())
-                .or_else(|| self.scan(runners, rng, |k, r| r.load.room() && want.avoid != Some(k)))
-        })
+        self.scan(runners, rng, |k, r| r.load.has_free_slot() && criteria.avoid != Some(k)).or_else(
+            || {
+                let best =
+                    local.into_iter().chain(remote).reduce(|a, b| less_loaded(runners, a, b));
+                best.filter(|k| runners[*k].load.has_room()).or_else(|| {
+                    self.scan(runners, rng, |k, r| r.load.has_room() && criteria.avoid != Some(k))
+                })
+            },
+        )
     }
 
-    /// Finds a good runner among at most [`SCAN`] from a random place on, the own domain first.
+    /// Finds a suitable runner among at most [`MAX_SCAN`] local ones, then as many remote ones,
+    /// each from a random start.
     fn scan(
         &self,
         runners: &Runners,
         rng: &mut SmallRng,
-        good: impl Fn(RunnerKey, &Runner) -> bool,
+        is_suitable: impl Fn(RunnerKey, &Runner) -> bool,
     ) -> Option<RunnerKey> {
-        [&self.near, &self.far].into_iter().filter(|list| !list.is_empty()).find_map(|list| {
+        [&self.local, &self.remote].into_iter().filter(|list| !list.is_empty()).find_map(|list| {
             let start = rng.random_range(0..list.len());
-            let some = (0..list.len().min(SCAN)).map(|i| list[(start + i) % list.len()]);
-            some.into_iter().find(|&k| good(k, &runners[k]))
+            let candidates = (0..list.len().min(MAX_SCAN)).map(|i| list[(start + i) % list.len()]);
+            candidates.into_iter().find(|&k| is_suitable(k, &runners[k]))
         })
     }
 
-    /// With nothing but suspects left a request goes to the one that failed longest ago, the
-    /// likeliest to be back: the suspicion may be wrong, and a refusal certainly helps no one. The
-    /// runner to be avoided is the last of all. If it failed again as a suspect, it is asked each
-    /// [`BACKOFF_FIRST`] only: a request would else spend all its tries in a quarter of a second on
-    /// a runner that is back in one.
-    fn last(&self, runners: &Runners, now: Instant, want: &Want) -> Option<RunnerKey> {
-        let avoided = |k: &RunnerKey| want.avoid == Some(*k);
-        let healthy = self.near.iter().chain(&self.far).copied();
+    /// Picks the suspect whose last failure is the oldest, if only suspects are left. It is the
+    /// most likely to have recovered, and the suspicion may be wrong, while a rejection certainly
+    /// fails the request. The runner to avoid is picked only if there is no other. If it failed
+    /// again while suspect, it is used at most once per [`INITIAL_BACKOFF`]: otherwise a request
+    /// would spend all its attempts within a quarter of a second on a runner that recovers in a
+    /// second.
+    fn pick_suspect(
+        &self,
+        runners: &Runners,
+        now: Instant,
+        criteria: &Criteria,
+    ) -> Option<RunnerKey> {
+        let is_avoided = |k: &RunnerKey| criteria.avoid == Some(*k);
+        let healthy = self.local.iter().chain(&self.remote).copied();
         let mut healthy = healthy.take(2);
-        if healthy.any(|k| !avoided(&k)) {
+        if healthy.any(|k| !is_avoided(&k)) {
             return None;
         }
-        let room = |k: &RunnerKey| runners[*k].load.room();
-        let rested = |k: &RunnerKey| runners[*k].relapse.is_none_or(|r| now >= r + BACKOFF_FIRST);
-        let others = self.suspects.iter().copied().take(SCAN).filter(|k| !avoided(k));
+        let has_room = |k: &RunnerKey| runners[*k].load.has_room();
+        let is_rested = |k: &RunnerKey| {
+            runners[*k].last_failure_as_suspect.is_none_or(|r| now >= r + INITIAL_BACKOFF)
+        };
+        let others = self.suspects.iter().copied().take(MAX_SCAN).filter(|k| !is_avoided(k));
         match others.clone().next() {
-            Some(_) => others.filter(room).min_by_key(|k| runners[*k].failed),
-            None => self.subset.iter().copied().find(avoided).filter(room).filter(rested),
+            Some(_) => others.filter(has_room).min_by_key(|k| runners[*k].last_failure),
+            None => self.subset.iter().copied().find(is_avoided).filter(has_room).filter(is_rested),
         }
     }
 }
 
-/// A subset of `size` runners, half of them in the own domain.
-fn sample(present: &[RunnerKey], runners: &Runners, view: View, size: usize) -> Vec<RunnerKey> {
+/// Returns a subset of `size` runners, half of them in the local domain.
+fn sample_subset(
+    eligible: &[RunnerKey],
+    runners: &Runners,
+    view: NodeView,
+    size: usize,
+) -> Vec<RunnerKey> {
     let mut domains = BTreeMap::<&str, Vec<(u64, RunnerKey)>>::new();
-    for &key in present {
+    for &key in eligible {
         let runner = &runners[key];
         let score = mix(view.seed, runner.hash);
         domains.entry(&runner.instance.domain).or_default().push((score, key));
     }
     domains.values_mut().for_each(|d| d.sort_unstable_by_key(|&(score, k)| (Reverse(score), k)));
-    let own = domains.remove(view.domain).unwrap_or_default();
-    let mut rest = domains
+    let local = domains.remove(view.domain).unwrap_or_default();
+    let mut others = domains
         .into_values()
         .enumerate()
         .flat_map(|(i, d)| d.into_iter().enumerate().map(move |(rank, (_, k))| (rank, i, k)))
         .collect::<Vec<_>>();
-    rest.sort_unstable();
-    let near = own.len().min((size / 2).max(size.saturating_sub(rest.len())));
-    let far = rest.into_iter().map(|(.., k)| k).take(size - near);
-    own.iter().map(|&(_, k)| k).take(near).chain(far).collect()
+    others.sort_unstable();
+    let local_count = local.len().min((size / 2).max(size.saturating_sub(others.len())));
+    let remote = others.into_iter().map(|(.., k)| k).take(size - local_count);
+    local.iter().map(|&(_, k)| k).take(local_count).chain(remote).collect()
 }
 
-/// The less loaded of two different random runners of `list`.
-fn two(
+/// Returns the less loaded of two distinct random runners of `list`.
+fn less_loaded_of_two(
     runners: &Runners,
     list: &[RunnerKey],
     rng: &mut SmallRng,
@@ -301,23 +338,23 @@
     let i = rng.random_range(0..list.len());
     let j = (i + rng.random_range(1..list.len())) % list.len();
     let pair = [list[i], list[j]].into_iter().filter(|k| avoid != Some(*k));
-    pair.reduce(|a, b| lesser(runners, a, b))
+    pair.reduce(|a, b| less_loaded(runners, a, b))
 }
 
-fn lesser(runners: &Runners, a: RunnerKey, b: RunnerKey) -> RunnerKey {
-    if runners[b].load.less(&runners[a].load) { b } else { a }
+fn less_loaded(runners: &Runners, a: RunnerKey, b: RunnerKey) -> RunnerKey {
+    if runners[b].load.is_less_than(&runners[a].load) { b } else { a }
 }
 
 fn bucket(hash: u64, buckets: usize) -> usize {
     (hash >> 32) as usize & (buckets - 1)
 }
 
-/// Hash of a runner's name, the same at every node.
+/// Returns the hash of a runner's name, which is the same at every node.
 pub(crate) fn name_hash(name: &str) -> u64 {
     xxh64(name.as_bytes(), 0)
 }
 
-/// Mixes two hashes into a score (the finaliser of SplitMix64).
+/// Mixes two hashes into a score with the finalizer of SplitMix64.
 fn mix(a: u64, b: u64) -> u64 {
     let mut x = a.wrapping_add(0x9e37_79b9_7f4a_7c15).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ b;
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/decide/src/runner.rs
+++ b/crates/decide/src/runner.rs
@@ -1,8 +1,9 @@
-//! One runner: whether it may be sent to, from the instance list and from direct evidence.
+//! State of one runner as seen by a node, derived from the instance list and from its own requests
+//! and load polls.
 
 use {
     crate::{
-        cache::Belief,
+        cache::CachedPrefixes,
         chart::Chart,
         id::{PoolKey, Ticket},
         load::Load,
@@ -13,19 +14,19 @@
     tokio::time::Instant,
 };
 
-/// First back-off after a failure.
-pub(crate) const BACKOFF_FIRST: Duration = Duration::from_millis(500);
-/// Longest back-off.
-const BACKOFF_MOST: Duration = Duration::from_secs(30);
-/// Load reports missed in a row that make a runner suspect.
-const SILENT_MOST: u32 = 2;
+/// Back-off after the first failure.
+pub(crate) const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum back-off.
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
+/// Number of consecutive missed load reports after which a runner becomes suspect.
+const MAX_MISSED_REPORTS: u32 = 2;
 
-/// Chart of a runner's life as a node sees it.
+/// State chart of a runner as seen by a node.
 pub(crate) type RunnerChart = Chart<State, Signal>;
 
-/// Reads the chart.
+/// Parses the state chart.
 pub(crate) fn chart() -> RunnerChart {
-    Chart::parse(include_str!("../../../charts/runner.json")).expect("charts/runner.json is sound")
+    Chart::parse(include_str!("../../../charts/runner.json")).expect("charts/runner.json is valid")
 }
 
 /// State of a runner.
@@ -33,220 +34,228 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum State {
-    /// Takes requests.
+    /// Receives requests.
     Healthy,
-    /// Failed; takes nothing until its back-off is over, then a single probe.
+    /// Failed. Receives nothing until its back-off has elapsed, then a single probe.
     Suspect,
-    /// Has its probe, a caller's request.
+    /// A probe, which is a caller's request, is running at it.
     Probing,
-    /// Takes nothing new.
+    /// Draining; receives no new requests.
     Leaving,
-    /// Not in the instance list any more.
+    /// No longer in the instance list.
     Gone,
 }
 
-/// What moves a runner from state to state.
+/// Input of the state chart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Signal {
-    /// A request failed at it, or it fell silent.
+    /// A request failed, or load reports were missed.
     Fail,
     /// A probe was sent.
     Probe,
-    /// It answered.
+    /// A request succeeded, or load reports arrive again.
     Ok,
-    /// The probe ended with no evidence: its caller left.
+    /// The probe ended without a result because its caller disconnected.
     Quit,
-    /// The list or its own report says that it leaves.
+    /// The list or the runner's own report marks it as leaving.
     Leave,
-    /// Neither says so any more.
+    /// Neither the list nor the runner's report marks it as leaving any longer.
     Stay,
-    /// The list has dropped it.
+    /// The runner is no longer in the list.
     Remove,
 }
 
-/// What made a runner suspect.
+/// Cause of a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
     Request,
-    Silence,
+    MissedReports,
 }
 
-/// A runner.
+/// A runner known from the instance list.
 #[derive(Debug)]
 pub(crate) struct Runner {
-    /// What the list says, with the version that the runner itself reports.
+    /// Its entry in the instance list, with the version replaced by the one it reports itself.
     pub(crate) instance: Instance,
     /// Pool of its entry and version.
     pub(crate) pool: PoolKey,
-    /// Its load.
+    /// Its estimated load.
     pub(crate) load: Load,
-    /// What is believed of its cache.
-    pub(crate) belief: Belief,
+    /// Prefixes that it is assumed to have cached.
+    pub(crate) cached_prefixes: CachedPrefixes,
     /// Hash of its name, the same at every node.
     pub(crate) hash: u64,
     /// Whether the runner has reported its version itself.
-    pub(crate) spoke: bool,
+    pub(crate) has_reported_version: bool,
     /// Time of the last failure.
-    pub(crate) failed: Option<Instant>,
-    /// Time of the last failure that came when it was suspect already.
-    pub(crate) relapse: Option<Instant>,
-    /// Number of the last list read that names it.
-    pub(crate) listed: u64,
+    pub(crate) last_failure: Option<Instant>,
+    /// Time of the last failure while it was already suspect.
+    pub(crate) last_failure_as_suspect: Option<Instant>,
+    /// Number of the last processed list that contains it.
+    pub(crate) list_round: u64,
     state: State,
-    due: Option<Instant>,
-    fails: u32,
-    cause: Cause,
-    silent: u32,
-    probe: Option<Ticket>,
+    probe_at: Option<Instant>,
+    failures: u32,
+    suspicion_cause: Cause,
+    missed_reports: u32,
+    probe_ticket: Option<Ticket>,
     leaving: bool,
 }
 
 impl Runner {
-    /// A runner that the list names for the first time.
+    /// Creates a runner that appeared in the list.
     pub(crate) fn new(instance: Instance, pool: PoolKey, hash: u64, chart: &RunnerChart) -> Runner {
         Runner {
             instance,
             pool,
             load: Load::default(),
-            belief: Belief::default(),
+            cached_prefixes: CachedPrefixes::default(),
             hash,
-            spoke: false,
-            failed: None,
-            relapse: None,
-            listed: 0,
+            has_reported_version: false,
+            last_failure: None,
+            last_failure_as_suspect: None,
+            list_round: 0,
             state: chart.initial(),
-            due: None,
-            fails: 0,
-            cause: Cause::Request,
-            silent: 0,
-            probe: None,
+            probe_at: None,
+            failures: 0,
+            suspicion_cause: Cause::Request,
+            missed_reports: 0,
+            probe_ticket: None,
             leaving: false,
         }
     }
 
-    /// Its state.
+    /// Returns its state.
     pub(crate) fn state(&self) -> State {
         self.state
     }
 
-    /// Whether it may have requests, be it suspect or not.
-    pub(crate) fn present(&self) -> bool {
+    /// Returns whether it may receive requests, suspect or not.
+    pub(crate) fn is_eligible(&self) -> bool {
         !matches!(self.state, State::Leaving | State::Gone)
     }
 
-    /// Whether it is only its own report that keeps it from having requests.
-    pub(crate) fn withdrawn(&self) -> bool {
+    /// Returns whether it is leaving by its own report but live according to the list.
+    pub(crate) fn is_leaving_by_report(&self) -> bool {
         self.leaving && self.instance.state == InstanceState::Live
     }
 
-    /// Whether it may be probed once its back-off is over: a runner whose load reports can't be
-    /// had would only cost a caller the time to find out.
-    pub(crate) fn audible(&self) -> bool {
-        self.state == State::Suspect && self.silent == 0
+    /// Returns whether it may be probed once its back-off has elapsed. A runner that misses load
+    /// reports isn't probed, because the probe would most likely fail and delay its caller.
+    pub(crate) fn is_probeable(&self) -> bool {
+        self.state == State::Suspect && self.missed_reports == 0
     }
 
-    /// When its back-off is over.
-    pub(crate) fn due(&self) -> Option<Instant> {
-        self.due
+    /// Returns the end of its back-off.
+    pub(crate) fn probe_at(&self) -> Option<Instant> {
+        self.probe_at
     }
 
-    /// A request ended badly at it. `jitter`, from 0 to 1, spreads the nodes' probes.
+    /// Records a failed request. `jitter`, from 0 to 1, spreads the probes of different nodes.
     ///
-    /// Only a probe's failure lengthens the back-off: when a runner dies all its streams break in
-    /// the same moment, which is one failure and not as many as there were streams.
-    pub(crate) fn fail(&mut self, now: Instant, ticket: Ticket, jitter: f64, chart: &RunnerChart) {
-        self.failed = Some(now);
+    /// Only a failed probe lengthens the back-off: when a runner dies, all its streams break at the
+    /// same time, which is a single failure.
+    pub(crate) fn on_failure(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        jitter: f64,
+        chart: &RunnerChart,
+    ) {
+        self.last_failure = Some(now);
         if self.state == State::Suspect {
-            self.relapse = Some(now);
+            self.last_failure_as_suspect = Some(now);
         }
-        if self.state == State::Probing && self.probe != Some(ticket) {
+        if self.state == State::Probing && self.probe_ticket != Some(ticket) {
             return;
         }
-        if self.signal(Signal::Fail, chart) {
-            self.suspect(now, Cause::Request, jitter);
+        if self.apply(Signal::Fail, chart) {
+            self.start_backoff(now, Cause::Request, jitter);
         }
     }
 
-    /// A request was answered, in whole or, for a probe, in its first token.
-    pub(crate) fn ok(&mut self, chart: &RunnerChart) {
-        if self.signal(Signal::Ok, chart) {
-            self.clear();
+    /// Records a complete response, or the first token of a response.
+    pub(crate) fn on_success(&mut self, chart: &RunnerChart) {
+        if self.apply(Signal::Ok, chart) {
+            self.clear_suspicion();
         }
     }
 
-    /// A request ended with no evidence for or against the runner.
-    pub(crate) fn quit(&mut self, ticket: Ticket, chart: &RunnerChart) {
-        if self.probe == Some(ticket) && self.signal(Signal::Quit, chart) {
-            self.probe = None;
+    /// Records a cancelled request, which shows nothing about the runner's health.
+    pub(crate) fn on_probe_cancelled(&mut self, ticket: Ticket, chart: &RunnerChart) {
+        if self.probe_ticket == Some(ticket) && self.apply(Signal::Quit, chart) {
+            self.probe_ticket = None;
         }
     }
 
-    /// A probe was sent to it.
-    pub(crate) fn probe(&mut self, ticket: Ticket, chart: &RunnerChart) {
-        if self.signal(Signal::Probe, chart) {
-            self.probe = Some(ticket);
+    /// Records a probe sent to it.
+    pub(crate) fn on_probe_sent(&mut self, ticket: Ticket, chart: &RunnerChart) {
+        if self.apply(Signal::Probe, chart) {
+            self.probe_ticket = Some(ticket);
         }
     }
 
-    /// Its load report could not be had.
-    pub(crate) fn silent(&mut self, now: Instant, jitter: f64, chart: &RunnerChart) {
-        self.silent = self.silent.saturating_add(1);
-        let enough = self.silent >= SILENT_MOST && self.state == State::Healthy;
-        if enough && self.signal(Signal::Fail, chart) {
-            self.failed = Some(now);
-            self.suspect(now, Cause::Silence, jitter);
+    /// Records a missed load report.
+    pub(crate) fn on_missed_report(&mut self, now: Instant, jitter: f64, chart: &RunnerChart) {
+        self.missed_reports = self.missed_reports.saturating_add(1);
+        let should_suspect =
+            self.missed_reports >= MAX_MISSED_REPORTS && self.state == State::Healthy;
+        if should_suspect && self.apply(Signal::Fail, chart) {
+            self.last_failure = Some(now);
+            self.start_backoff(now, Cause::MissedReports, jitter);
         }
     }
 
-    /// Its load report came. That answers a suspicion by silence, but not one by a failed request:
-    /// a bad version may report well and fail every request.
+    /// Records a load report. It clears a suspicion caused by missed reports but not one caused by
+    /// a failed request, because a faulty version may report its load and fail every request.
     pub(crate) fn on_report(&mut self, leaving: bool, chart: &RunnerChart) {
-        self.silent = 0;
+        self.missed_reports = 0;
         self.leaving = leaving;
-        if self.cause == Cause::Silence {
-            self.ok(chart);
+        if self.suspicion_cause == Cause::MissedReports {
+            self.on_success(chart);
         }
-        self.settle(chart);
+        self.update_leaving(chart);
     }
 
-    /// The list has dropped it.
-    pub(crate) fn remove(&mut self, chart: &RunnerChart) {
-        self.signal(Signal::Remove, chart);
+    /// Records its removal from the list.
+    pub(crate) fn on_unlisted(&mut self, chart: &RunnerChart) {
+        self.apply(Signal::Remove, chart);
     }
 
-    /// Updates the draining state. A runner's own report takes precedence over the lagging list.
-    pub(crate) fn settle(&mut self, chart: &RunnerChart) {
+    /// Updates the leaving state. The runner's own report applies even while the delayed list still
+    /// calls it live.
+    pub(crate) fn update_leaving(&mut self, chart: &RunnerChart) {
         let leaving = self.leaving || self.instance.state == InstanceState::Leaving;
         match (leaving, self.state) {
             (true, State::Leaving) => {}
-            (true, _) => _ = self.signal(Signal::Leave, chart),
+            (true, _) => _ = self.apply(Signal::Leave, chart),
             (false, State::Leaving) => {
-                if self.signal(Signal::Stay, chart) {
-                    self.clear();
+                if self.apply(Signal::Stay, chart) {
+                    self.clear_suspicion();
                 }
             }
             (false, _) => {}
         }
     }
 
-    fn suspect(&mut self, now: Instant, cause: Cause, jitter: f64) {
-        let backoff = BACKOFF_FIRST.saturating_mul(1 << self.fails.min(10)).min(BACKOFF_MOST);
-        self.due = Some(now + backoff.mul_f64(0.75 + jitter / 2.0));
-        self.fails = self.fails.saturating_add(1);
-        self.cause = cause;
-        self.probe = None;
+    fn start_backoff(&mut self, now: Instant, cause: Cause, jitter: f64) {
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(10)).min(MAX_BACKOFF);
+        self.probe_at = Some(now + backoff.mul_f64(0.75 + jitter / 2.0));
+        self.failures = self.failures.saturating_add(1);
+        self.suspicion_cause = cause;
+        self.probe_ticket = None;
     }
 
-    fn clear(&mut self) {
-        self.due = None;
-        self.relapse = None;
-        self.fails = 0;
-        self.probe = None;
+    fn clear_suspicion(&mut self) {
+        self.probe_at = None;
+        self.last_failure_as_suspect = None;
+        self.failures = 0;
+        self.probe_ticket = None;
     }
 
-    fn signal(&mut self, signal: Signal, chart: &RunnerChart) -> bool {
+    fn apply(&mut self, signal: Signal, chart: &RunnerChart) -> bool {
         let next = chart.next(self.state, signal);
         self.state = next.unwrap_or(self.state);
         next.is_some()
--- a/crates/decide/tests/routing/runners.rs
+++ b/crates/decide/tests/routing/runners.rs
@@ -178,8 +178,9 @@
     assert!(got(&mut world, "r0", 20) > 0, "and so does its word that it stays");
 }
 
-// Operators see a drained runner that was told to load a version and never serves again. 1. It reports
-// that it leaves. 2. The node stops asking for its load. 3. So it can't hear that the runner is back.
+// Operators see a drained runner that was told to load a version and never serves again. 1. It
+// reports that it leaves. 2. The node stops asking for its load. 3. So it can't hear that the
+// runner is back.
 #[test]
 fn a_runner_that_said_it_leaves_is_still_listened_to() {
     let mut world = world(2);
