--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -51,7 +51,7 @@
     let before = resident();
     let core = core(&list, 1_000_000);
     let grown = resident().saturating_sub(before) / 1024;
-    let watched = core.watched().count();
+    let watched = core.polled().count();
     println!("4900 runners, {watched} of them watched, 1100 nodes: {grown} KiB resident");
 }
 
@@ -149,7 +149,7 @@
 
 /// Each watched runner reports its load and its cache.
 fn report(core: &mut Core, now: Instant) {
-    let watched = core.watched().map(|(k, r)| (k, r.version.clone())).collect::<Vec<_>>();
+    let watched = core.polled().map(|(k, r)| (k, r.version.clone())).collect::<Vec<_>>();
     for (n, (runner, version)) in watched.into_iter().enumerate() {
         let prefix = |i| (n as u64 * 101 + i * 17) % 20_000;
         let cache =
--- a/crates/decide/src/core.rs
+++ b/crates/decide/src/core.rs
@@ -119,8 +119,8 @@
 
     /// Returns the runners to poll for load: the eligible ones of this node's subset, and those
     /// draining by their own report, because only a further report can end that state.
-    pub fn watched(&self) -> impl Iterator<Item = (RunnerKey, &Instance)> {
-        self.fleet.watched()
+    pub fn polled(&self) -> impl Iterator<Item = (RunnerKey, &Instance)> {
+        self.fleet.polled()
     }
 
     /// Returns the number of requests admitted by this node, per entry and account.
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the runners that this node polls for load.
-    pub(crate) fn watched(&self) -> impl Iterator<Item = (RunnerKey, &Instance)> {
+    pub(crate) fn polled(&self) -> impl Iterator<Item = (RunnerKey, &Instance)> {
         let keys = self.pools.values().flat_map(|p| p.polled(&self.runners));
         keys.map(|k| (k, &self.runners[k].instance))
     }
--- a/crates/decide/tests/routing/affinity.rs
+++ b/crates/decide/tests/routing/affinity.rs
@@ -151,7 +151,7 @@
         let mut list = spread(1_600);
         list.extend((0..400).map(|i| node(&format!("n{i}"))));
         world.list(list);
-        let watched = world.core.watched().map(|(_, r)| r.domain.clone()).collect::<Vec<_>>();
+        let watched = world.core.polled().map(|(_, r)| r.domain.clone()).collect::<Vec<_>>();
         assert_eq!(watched.len(), 64);
         for domain in DOMAINS {
             let here = watched.iter().filter(|d| *d == domain).count();
@@ -171,7 +171,7 @@
         let mut core = Core::new(seed, Location { region: "east-mids".into(), domain });
         let now = tokio::time::Instant::now();
         core.step(now, Event::Instances(list.clone()), &mut Vec::new());
-        seen.extend(core.watched().map(|(_, r)| r.name.to_string()));
+        seen.extend(core.polled().map(|(_, r)| r.name.to_string()));
     }
     assert_eq!(seen.len(), 600);
 }
--- a/crates/decide/tests/routing/runners.rs
+++ b/crates/decide/tests/routing/runners.rs
@@ -184,13 +184,13 @@
 #[test]
 fn a_runner_that_said_it_leaves_is_still_listened_to() {
     let mut world = world(2);
-    let watched = |w: &World| w.core.watched().any(|(_, r)| r.name == "r0");
+    let is_polled = |w: &World| w.core.polled().any(|(_, r)| r.name == "r0");
     world.load("r0", LoadReport { leaving: true, ..report(0, 8) });
-    assert!(watched(&world));
+    assert!(is_polled(&world));
     let mut list = ["r0", "r1"].map(|n| engine(n, "a", V1)).to_vec();
     list[0].state = InstanceState::Leaving;
     world.list(list);
-    assert!(!watched(&world), "the list's word is not the runner's to undo");
+    assert!(!is_polled(&world), "the list's word is not the runner's to undo");
 }
 
 #[test]
--- a/src/control/view.rs
+++ b/src/control/view.rs
@@ -79,7 +79,7 @@
 
     /// Publishes the core's catalogue and runners.
     pub fn core(&self, core: &Core) {
-        let runners = core.watched().map(|(k, i)| (k, i.clone())).collect();
+        let runners = core.polled().map(|(k, i)| (k, i.clone())).collect();
         let catalog = core.catalog().clone();
         self.change(|view| View { catalog, runners, ..view });
     }
