--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -22,7 +22,9 @@
 use {
     self::{
         merge::Gossip,
-        message::{Claim, Heartbeat, Hint, Life, Moment, NodeLocation, NodeState, Update, Usage},
+        message::{
+            Claim, Heartbeat, Hint, Moment, NodeIncarnation, NodeLocation, NodeState, Update, Usage,
+        },
         record::Record,
         ring::Ring,
         updates::UpdateQueue,
@@ -63,7 +65,7 @@
     /// Name, as in the instance list and the certificate.
     pub name: CompactString,
     /// Incarnation: start time in milliseconds and a random number.
-    pub life: Life,
+    pub life: NodeIncarnation,
     /// Addresses.
     pub location: NodeLocation,
 }
@@ -246,7 +248,7 @@
 
     /// Applies the platform's list unless it is outdated. Unlisted nodes with heartbeats are kept;
     /// listed nodes without heartbeats are not in address responses.
-    pub fn list(&mut self, now: Instant, list: &InstanceList) {
+    pub fn apply_list(&mut self, now: Instant, list: &InstanceList) {
         if list.revision < self.list {
             return;
         }
@@ -268,7 +270,7 @@
     }
 
     /// Handles a failed connection to a node.
-    pub fn broken(&mut self, now: Instant, name: &str, out: &mut Vec<Output>) {
+    pub fn connection_failed(&mut self, now: Instant, name: &str, out: &mut Vec<Output>) {
         let Some((name, record)) = self.records.get_key_value(name) else { return };
         if record.running() {
             self.suspect(now, &name.clone(), out);
--- a/crates/decide/tests/intent.rs
+++ b/crates/decide/tests/intent.rs
@@ -4,8 +4,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Answer, Event, Fault, Found, Kept, Life, Outcome, Owner, RETENTION, Shelf,
-            State, Verdict,
+            AbandonedClaims, Action, Answer, Event, Fault, IntentRow, Outcome, Owner, RETENTION,
+            RequestLifecycle, State, StoredBody, Verdict,
         },
     },
     bilberryfront_wire::table::{RowRevision, Written},
@@ -50,19 +50,19 @@
 /// A row of the naive table, and when it was made.
 #[derive(Clone)]
 struct Row {
-    found: Found,
+    found: IntentRow,
     born: Instant,
 }
 
 struct Node {
     incarnation: u64,
-    shelf: Shelf,
+    shelf: AbandonedClaims,
 }
 
 struct Request {
     node: usize,
     body: &'static str,
-    life: Life,
+    life: RequestLifecycle,
     todo: Action,
     /// The table's last answer.
     heard: Option<Event>,
@@ -77,7 +77,7 @@
     requests: Vec<Request>,
     /// The one key's row.
     row: Option<Row>,
-    late: Vec<Found>,
+    late: Vec<IntentRow>,
     /// Who sent the call to the runner since the row was last swept.
     log: Vec<Owner>,
 }
@@ -87,7 +87,7 @@
 impl World {
     fn new() -> World {
         let nodes = (0..NODES as u64)
-            .map(|incarnation| Node { incarnation, shelf: Shelf::default() })
+            .map(|incarnation| Node { incarnation, shelf: AbandonedClaims::default() })
             .collect();
         World {
             now: Instant::now(),
@@ -134,8 +134,8 @@
         self.claims += 1;
         let incarnation = Incarnation(self.nodes[node].incarnation);
         let owner = Owner { incarnation, claim: self.claims };
-        let life = Life::new(owner, body.into(), self.now, 0);
-        let todo = Action::Rest;
+        let life = RequestLifecycle::new(owner, body.into(), self.now, 0);
+        let todo = Action::Finish;
         self.requests.push(Request { node, body, life, todo, heard: None, ran: false });
         self.tell(self.requests.len() - 1, first)
     }
@@ -143,7 +143,7 @@
     fn crash(&mut self, node: usize) {
         self.requests.retain(|r| r.node != node);
         self.nodes[node].incarnation += NODES as u64;
-        self.nodes[node].shelf = Shelf::default();
+        self.nodes[node].shelf = AbandonedClaims::default();
     }
 
     /// No write takes hours to get to the table: the network and the committer drop it before.
@@ -183,13 +183,13 @@
                 self.hear(i, event)
             }
             Action::Permit => self.send(i, fate),
-            Action::Hold => self.tell(i, Event::End(Outcome::NotRun, self.now)),
+            Action::Expire => self.tell(i, Event::End(Outcome::NotRun, self.now)),
             Action::Send => self.end(i, fate),
-            Action::Say(Verdict::Busy(_)) => {
+            Action::Respond(Verdict::Busy(_)) => {
                 let Request { node, body, .. } = self.requests.remove(i);
                 self.ask(node, body, Event::Look)
             }
-            Action::Say(_) | Action::Rest | Action::Ignore => {
+            Action::Respond(_) | Action::Finish | Action::Ignore => {
                 self.requests.remove(i);
                 Ok(())
             }
@@ -197,7 +197,7 @@
     }
 
     /// A write on its way to the table.
-    fn reach(&mut self, found: Found, fate: u8) -> Event {
+    fn reach(&mut self, found: IntentRow, fate: u8) -> Event {
         match fate % 8 {
             0 => Event::Failed(Fault::Down),
             1 => Event::Failed(Fault::Lost),
@@ -214,14 +214,14 @@
     }
 
     /// The naive table: one row, written when its revision is as expected.
-    fn write(&mut self, Found { revision, intent }: Found) -> Written {
+    fn write(&mut self, IntentRow { revision, intent }: IntentRow) -> Written {
         let held: RowRevision = self.row.as_ref().map_or(0, |r| r.found.revision);
         if held != revision {
             return Written::Conflict(held);
         }
         let born =
             self.row.as_ref().filter(|_| intent.outcome.is_some()).map_or(self.now, |r| r.born);
-        self.row = Some(Row { found: Found { revision: held + 1, intent }, born });
+        self.row = Some(Row { found: IntentRow { revision: held + 1, intent }, born });
         Written::Done(held + 1)
     }
 
@@ -265,8 +265,8 @@
         let shelf = &mut self.nodes[request.node].shelf;
         match request.life.step(event, shelf) {
             Action::Ignore => Ok(()),
-            Action::Say(verdict) => {
-                request.todo = Action::Say(verdict.clone());
+            Action::Respond(verdict) => {
+                request.todo = Action::Respond(verdict.clone());
                 self.said(i, &verdict, read)
             }
             todo => {
@@ -301,7 +301,7 @@
 
 /// The runner's answer names who asked.
 fn answer(owner: Owner) -> Outcome {
-    let body = Kept::Text(format!("{owner:?}"));
+    let body = StoredBody::Text(format!("{owner:?}"));
     Outcome::Answer(Answer { status: 200, headers: Vec::new(), body })
 }
 
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -7,10 +7,10 @@
         chart::Chart,
         id::Incarnation,
         mover::{
-            MoveId, PeerNews, Sample,
-            evidence::{Collector, Counts, Pool, TOLERANCE, Tally},
+            MoveId, MoveUpdate, Sample,
+            evidence::{Collector, Counts, PooledEvidence, TOLERANCE, Tally},
             standing::{Cause, Verdict},
-            verdict::Judge,
+            verdict::SequentialTest,
         },
     },
     compact_str::CompactString,
@@ -78,7 +78,7 @@
         expected: u64,
     },
     /// Send to all peers.
-    Tell(PeerNews),
+    Tell(MoveUpdate),
 }
 
 pub(super) struct Track {
@@ -90,9 +90,9 @@
     /// Revision of the stored status, and its phase if it belongs to this rollout.
     recorded: (u64, Option<Phase>),
     collector: Collector,
-    pool: Pool,
+    pool: PooledEvidence,
     routes: BTreeMap<CompactString, Counts>,
-    judge: Judge,
+    judge: SequentialTest,
     verdict: Option<Verdict>,
     /// Time of the verdict.
     decided_at: Instant,
@@ -113,9 +113,9 @@
             phase: CHART.initial(),
             recorded: (0, None),
             collector: Collector::default(),
-            pool: Pool::default(),
+            pool: PooledEvidence::default(),
             routes: BTreeMap::new(),
-            judge: Judge::new(now, order.time),
+            judge: SequentialTest::new(now, order.time),
             verdict: None,
             decided_at: now,
             runners: 0,
@@ -160,12 +160,12 @@
         }
     }
 
-    pub(super) fn handle_peer_update(&mut self, now: Instant, news: &PeerNews) {
+    pub(super) fn handle_peer_update(&mut self, now: Instant, news: &MoveUpdate) {
         if news.id != self.id() {
             return;
         }
         if let Some(evidence) = &news.evidence {
-            self.pool.absorb(news.from, evidence);
+            self.pool.merge(news.from, evidence);
         }
         if let Some(verdict) = &news.verdict {
             self.roll_back(now, verdict.clone());
@@ -215,11 +215,11 @@
             return;
         }
         self.evaluate_at = now + EVALUATE_EVERY;
-        self.pool.absorb(self.me, self.collector.evidence());
-        if let Some(routes) = self.pool.news() {
+        self.pool.merge(self.me, self.collector.evidence());
+        if let Some(routes) = self.pool.take_changed() {
             self.routes = routes;
         }
-        let found = self.judge.look(now, &self.routes, nodes);
+        let found = self.judge.evaluate(now, &self.routes, nodes);
         if let Some(found) = found {
             let verdict = Verdict { cause: found.cause, route: found.route, node: self.me };
             return self.roll_back(now, verdict);
@@ -232,7 +232,7 @@
 
     /// Whether the new version is healthy on at least `need` requests.
     fn is_healthy(&self, now: Instant, need: u32) -> bool {
-        let suspect = self.judge.suspects(now) && self.is_worse();
+        let suspect = self.judge.is_suspect(now) && self.is_worse();
         self.runners > 0 && !suspect && self.served() >= need
     }
 
@@ -253,7 +253,7 @@
         self.start + self.order.time.mul_f64(part)
     }
 
-    fn report(&mut self, now: Instant) -> Option<PeerNews> {
+    fn report(&mut self, now: Instant) -> Option<MoveUpdate> {
         let sequence = self.collector.evidence().sequence;
         let open = self.phase == Phase::Canary || !self.is_over();
         if now < self.report_at || !open || (sequence == self.reported && self.verdict.is_none()) {
@@ -262,7 +262,7 @@
         self.report_at = now + REPORT_EVERY;
         self.reported = sequence;
         self.sequence += 1;
-        Some(PeerNews {
+        Some(MoveUpdate {
             from: self.me,
             sequence: self.sequence,
             acks: Vec::new(),
