--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -44,14 +44,14 @@
     }
 }
 
-/// Prints the growth of the resident memory by a core of the design's size. It comes first, as later
-/// cores reuse what earlier ones have freed.
+/// Prints the growth of the resident memory by a core of the design's size. It comes first, as
+/// later cores reuse what earlier ones have freed.
 fn memory() {
     let list = list(4_900, 1_100);
     let before = resident();
     let core = core(&list, 1_000_000);
     let grown = resident().saturating_sub(before) / 1024;
-    let watched = core.watched().count();
+    let watched = core.polled().count();
     println!("4900 runners, {watched} of them watched, 1100 nodes: {grown} KiB resident");
 }
 
@@ -77,7 +77,8 @@
     Row { decision, queued: cost(&mut full, nodes, true), list: again }
 }
 
-/// A core whose entries have this limit and that knows the list, and the load and caches of the runners that it watches.
+/// A core whose entries have this limit and that knows the list, and the load and caches of the
+/// runners that it watches.
 fn core(list: &InstanceList, concurrent: u32) -> Core {
     let place = Location { region: "region-0".into(), domain: "domain-0".into() };
     let mut core = Core::new(1, place);
@@ -148,7 +149,7 @@
 
 /// Each watched runner reports its load and its cache.
 fn report(core: &mut Core, now: Instant) {
-    let watched = core.watched().map(|(k, r)| (k, r.version.clone())).collect::<Vec<_>>();
+    let watched = core.polled().map(|(k, r)| (k, r.version.clone())).collect::<Vec<_>>();
     for (n, (runner, version)) in watched.into_iter().enumerate() {
         let prefix = |i| (n as u64 * 101 + i * 17) % 20_000;
         let cache =
