--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -5,7 +5,7 @@
         error::{Exit, Result},
         logs, settings,
     },
-    bilberryfront_platform::{Http, RowStore, Rows},
+    bilberryfront_platform::{Http, RowCodec, RowStore},
     bilberryfront_relay::node,
     std::path::Path,
 };
@@ -15,6 +15,6 @@
     let settings = settings::relay::load(path)?;
     logs::start_stdout(&settings.log.level);
     let store = settings.store;
-    node::run(&settings, Http, Rows, move || RowStore::new(store))?;
+    node::run(&settings, Http, RowCodec, move || RowStore::new(store))?;
     Ok(Exit::Done)
 }
--- a/tests/relay/support.rs
+++ b/tests/relay/support.rs
@@ -2,7 +2,7 @@
 
 use {
     async_stream::stream,
-    bilberryfront_platform::{Http, Rows},
+    bilberryfront_platform::{Http, RowCodec},
     bilberryfront_relay::{
         body::Answer,
         budget::Allowance,
@@ -563,7 +563,7 @@
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 65536,
                    "header_timeout_ms": 3000, "idle_timeout_ms": 15000}
     }"#;
-    Rows.catalog(text.as_bytes()).unwrap()
+    RowCodec.catalog(text.as_bytes()).unwrap()
 }
 
 fn call(path: &str, headers: &[(&'static str, &'static str)]) -> Call {
