--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -2,9 +2,9 @@
 
 use {
     bilberryfront_decide::{
-        Action, Core, Event, Place,
+        Action, Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
-        event::{Ask, Done, PeerUse, Purpose, Verdict},
+        event::{Done, PeerUse, Purpose, RunnerRequest, Verdict},
         id::{AccountKey, EntryKey, Ticket},
     },
     bilberryfront_wire::{
@@ -79,10 +79,10 @@
 
 /// A core whose entries have this limit and that knows the list, and the load and caches of the runners that it watches.
 fn core(list: &InstanceList, concurrent: u32) -> Core {
-    let place = Place { region: "region-0".into(), domain: "domain-0".into() };
+    let place = Location { region: "region-0".into(), domain: "domain-0".into() };
     let mut core = Core::new(1, place);
     let now = Instant::now();
-    let catalog = Arc::new(Catalog::default().renew(1, &doc(concurrent)));
+    let catalog = Arc::new(Catalog::default().updated(1, &doc(concurrent)));
     core.step(
         now,
         Event::Catalog { revision: catalog.revision, doc: Arc::new(catalog.doc()) },
@@ -120,7 +120,7 @@
         if i == warm {
             started = Instant::now();
         }
-        let ask = Ask {
+        let ask = RunnerRequest {
             ticket: Ticket(i),
             entry: entries[i as usize % entries.len()],
             account: accounts[i as usize * 7 % accounts.len()],
@@ -129,16 +129,17 @@
             avoid: None,
             purpose: Purpose::First,
         };
-        core.step(now, Event::Ask(ask), &mut out);
+        core.step(now, Event::Request(ask), &mut out);
         if running.len() >= RUNNING || queued && i >= warm {
             let ticket = running.pop_front().expect("it is not empty");
-            let done = Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, again: false };
+            let done =
+                Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, will_retry: false };
             core.step(now, Event::Done(done), &mut out);
         }
         for action in out.drain(..) {
             match action {
                 Action::Grant(grant) => running.push_back(grant.ticket),
-                Action::Refuse(_) => assert!(queued, "a refusal must not pass for a grant"),
+                Action::Reject(_) => assert!(queued, "a refusal must not pass for a grant"),
             }
         }
     }
--- a/crates/decide/examples/spread.rs
+++ b/crates/decide/examples/spread.rs
@@ -5,9 +5,9 @@
 
 use {
     bilberryfront_decide::{
-        Action, Core, Event, Place,
+        Action, Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
-        event::{Ask, Done, Purpose, Verdict},
+        event::{Done, Purpose, RunnerRequest, Verdict},
         id::{AccountKey, EntryKey, RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -130,9 +130,9 @@
 
 impl Trial {
     fn new(policy: Policy) -> Trial {
-        let catalog = Arc::new(Catalog::default().renew(1, &doc()));
+        let catalog = Arc::new(Catalog::default().updated(1, &doc()));
         let start = Instant::now();
-        let place = |i: usize| Place { region: "r".into(), domain: domain(i) };
+        let place = |i: usize| Location { region: "r".into(), domain: domain(i) };
         let mut nodes = (0..NODES).map(|i| Core::new(i as u64 + 1, place(i))).collect::<Vec<_>>();
         for core in &mut nodes {
             core.step(
@@ -199,7 +199,7 @@
             }
             Policy::Two | Policy::Apart | Policy::Core => {
                 let prefix = (self.policy != Policy::Two).then(|| self.salted(node, prefix));
-                let ask = Ask {
+                let ask = RunnerRequest {
                     ticket,
                     entry: self.entry,
                     account: self.account,
@@ -208,7 +208,7 @@
                     avoid: None,
                     purpose: Purpose::First,
                 };
-                self.event(step, node, Event::Ask(ask));
+                self.event(step, node, Event::Request(ask));
             }
         }
     }
@@ -229,7 +229,7 @@
                     let runner = self.keys[node].iter().position(|k| *k == grant.runner);
                     self.send(node, runner.expect("a known runner"), grant.ticket);
                 }
-                Action::Refuse(refuse) => {
+                Action::Reject(refuse) => {
                     self.open.remove(&refuse.ticket);
                     self.refused += 1;
                 }
@@ -266,7 +266,8 @@
             ended.extend(engine.jobs.extract_if(.., |j| j.decode <= 0.0));
         }
         for Job { node, ticket, .. } in ended {
-            let done = Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, again: false };
+            let done =
+                Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, will_retry: false };
             self.event(step, node, Event::Done(done));
         }
     }
--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -11,8 +11,8 @@
 pub enum Action {
     /// Send the request to this runner.
     Grant(Grant),
-    /// Refuse the request, at once.
-    Refuse(Refuse),
+    /// Reject the request.
+    Reject(Rejection),
 }
 
 /// A runner for a request.
@@ -30,13 +30,13 @@
 
 /// No runner for a request. Nothing of it was sent for this ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refuse {
+pub struct Rejection {
     /// The request.
     pub ticket: Ticket,
     /// Why.
     pub reason: Reason,
     /// When asking again may help; `None` when it won't.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// Why a request gets no runner.
@@ -51,7 +51,7 @@
     /// The entry's limit is reached and its queue is full.
     EntryLimit,
     /// It would have waited too long.
-    Late,
+    WaitTooLong,
     /// No live runner of the entry, or of the pinned version.
     NoRunner,
     /// The retry budget is spent.
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -34,18 +34,18 @@
         report: LoadReport,
     },
     /// A runner's load report could not be had.
-    Silent {
+    LoadMissing {
         /// The runner that was asked.
         runner: RunnerKey,
     },
     /// A request wants a runner.
-    Ask(Ask),
+    Request(RunnerRequest),
     /// A request no longer wants a runner: its caller left while it waited, or between two runners.
     /// A granted request is not forgotten but done.
-    Forget(Ticket),
+    Cancel(Ticket),
     /// The first token, or the answer's head, of a granted request came. It ends the suspicion of
     /// the runner at once, where the request may go on for minutes.
-    Begun(Ticket),
+    Started(Ticket),
     /// A granted request ended at its runner.
     Done(Done),
     /// How many other nodes take traffic, and what they use of the limits.
@@ -56,8 +56,8 @@
 
 /// A request that wants a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// Name of this request for a runner; an [`Purpose::Again`] has the ticket of the [`Done`] that
+pub struct RunnerRequest {
+    /// Name of this request for a runner; an [`Purpose::Retry`] has the ticket of the [`Done`] that
     /// it follows.
     pub ticket: Ticket,
     /// Entry that must serve it.
@@ -81,7 +81,7 @@
     First,
     /// Another runner after one failed: already admitted, draws on the retry budget, and goes
     /// before all first requests.
-    Again,
+    Retry,
     /// The caller's own resume after a cut: admitted again, but no first token is to be made.
     Resume,
 }
@@ -98,13 +98,13 @@
     /// Tokens taken from this runner.
     pub tokens: u32,
     /// Whether another runner will be asked for; the request then keeps its admission.
-    pub again: bool,
+    pub will_retry: bool,
 }
 
 impl Done {
     /// The end of a request whose caller left before anything came back.
     pub fn cancelled(ticket: Ticket) -> Done {
-        Done { ticket, verdict: Verdict::Cancelled, first: None, tokens: 0, again: false }
+        Done { ticket, verdict: Verdict::Cancelled, first: None, tokens: 0, will_retry: false }
     }
 }
 
--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -22,9 +22,9 @@
 
 /// Most bytes of one token's text. A longer one is a broken runner: without the bound its stream
 /// could fill the node's memory.
-pub const TOKEN_BYTES: usize = 4_096;
+pub const MAX_TOKEN_BYTES: usize = 4_096;
 /// Most runners tried for one generation, so that a prompt that kills runners can't go through all.
-pub const ATTEMPTS: Attempt = 8;
+pub const MAX_ATTEMPTS: Attempt = 8;
 
 static CHART: LazyLock<Chart<Phase, Signal>> = LazyLock::new(|| {
     Chart::parse(include_str!("../../../charts/generation.json")).expect("checked by a test")
@@ -70,7 +70,7 @@
 
 /// What to do with a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Take {
+pub enum TokenAction {
     /// It is the next one: deliver it.
     Deliver,
     /// Of an older attempt, or delivered before: drop it.
@@ -147,7 +147,7 @@
 
     /// Starts an attempt at a runner of `version`, and pins the generation to it: tokens of two
     /// versions in one answer would be two answers mixed.
-    pub fn granted(&mut self, version: &CompactString) -> Attempt {
+    pub fn start_attempt(&mut self, version: &CompactString) -> Attempt {
         self.step(Signal::Granted);
         self.attempt += 1;
         self.tried += 1;
@@ -161,17 +161,17 @@
     /// was used again; the caller would see tokens twice or of another generation. The attempt
     /// number and the index together name each token of the answer once, so dropping all others is
     /// enough.
-    pub fn token(&mut self, attempt: Attempt, token: &Token) -> Take {
+    pub fn accept(&mut self, attempt: Attempt, token: &Token) -> TokenAction {
         if attempt != self.attempt || token.index < self.next {
-            return Take::Drop;
+            return TokenAction::Drop;
         }
         let fits = token.index == self.next && self.next < self.limit;
-        if !fits || token.text.len() > TOKEN_BYTES {
-            return Take::Garbled;
+        if !fits || token.text.len() > MAX_TOKEN_BYTES {
+            return TokenAction::Garbled;
         }
         self.next += 1;
         self.digest.push(&token.text);
-        Take::Deliver
+        TokenAction::Deliver
     }
 
     /// Whether the runner's own count at its finish is what was delivered. A smaller answer than the
@@ -186,7 +186,7 @@
 
     /// The present runner is lost; another has to be asked, unless the answer is whole already: then
     /// only the runner's finish was lost, and this says what it was.
-    pub fn lost(&mut self) -> Option<FinishReason> {
+    pub fn runner_lost(&mut self) -> Option<FinishReason> {
         self.step(Signal::Lost);
         if self.next < self.limit {
             return None;
@@ -197,12 +197,12 @@
 
     /// Whether another runner may be tried.
     pub fn may_retry(&self) -> bool {
-        self.tried < ATTEMPTS
+        self.tried < MAX_ATTEMPTS
     }
 
     /// Starts from nothing with any version, which is possible while the caller has seen no token.
     /// Says whether it was.
-    pub fn restart(&mut self) -> bool {
+    pub fn try_restart(&mut self) -> bool {
         let unseen = !self.streamed || self.next == 0;
         if unseen && self.pin.is_some() {
             self.pin = None;
--- a/crates/decide/tests/mover/fake.rs
+++ b/crates/decide/tests/mover/fake.rs
@@ -4,7 +4,7 @@
     bilberryfront_decide::{
         id::Incarnation,
         mover::{
-            Millis, MoveId, MoveRow, Mover, Output, PeerNews, Split, Standing, Start, Weights,
+            Millis, MoveId, MoveRow, MoveUpdate, Mover, Output, Split, Standing, Start, Weights,
         },
     },
     bilberryfront_wire::table::{Commit, Committed, Read, Row, Rows, Written},
@@ -76,7 +76,7 @@
     Commit(u64, Commit),
     Rows(u64, Rows),
     Committed(u64, Commit, Committed),
-    News(PeerNews),
+    News(MoveUpdate),
 }
 
 struct Flight {
@@ -98,7 +98,7 @@
     /// The node got the row.
     Row { node: usize, row: &'a MoveRow },
     /// The node got a peer's news.
-    News { node: usize, news: &'a PeerNews },
+    News { node: usize, news: &'a MoveUpdate },
 }
 
 pub(crate) struct World {
@@ -155,8 +155,8 @@
     fn mover(&self, me: Incarnation, seed: u64) -> Mover {
         let wall = WALL + (self.now - self.zero).as_millis() as Millis;
         let mut mover = Mover::new(me, seed ^ (me.0 << 32), self.now, wall);
-        mover.peers(&self.lives);
-        mover.entry(self.now, ENTRY, &self.catalog);
+        mover.set_peers(&self.lives);
+        mover.set_version(self.now, ENTRY, &self.catalog);
         mover
     }
 
@@ -190,7 +190,7 @@
         self.lives[node] = Incarnation(self.lives[node].0 + 100);
         self.movers[node] = self.mover(self.lives[node], self.lives[node].0);
         self.paused[node] = self.now;
-        self.movers.iter_mut().for_each(|m| m.peers(&self.lives));
+        self.movers.iter_mut().for_each(|m| m.set_peers(&self.lives));
     }
 
     /// Goes on by one step.
@@ -232,14 +232,14 @@
             Output::Adopt { version, .. } => {
                 self.catalog = version;
                 let movers = self.movers.iter_mut();
-                movers.for_each(|m| m.entry(self.now, ENTRY, &self.catalog));
+                movers.for_each(|m| m.set_version(self.now, ENTRY, &self.catalog));
             }
             _ if cut(node) => {}
             Output::Read { number, read } => self.fly(node, life, Packet::Read(number, read)),
             Output::Commit { number, commit } => {
                 self.fly(node, life, Packet::Commit(number, commit));
             }
-            Output::Tell(news) => {
+            Output::Broadcast(news) => {
                 let peers: Vec<usize> = (0..NODES).filter(|n| *n != node && !cut(*n)).collect();
                 for peer in peers {
                     self.fly(peer, self.lives[peer], Packet::News(news.clone()));
@@ -294,7 +294,7 @@
             }
             Packet::News(news) => {
                 seen(Seen::News { node, news: &news });
-                self.movers[node].hear(self.now, &news);
+                self.movers[node].receive(self.now, &news);
             }
         }
     }
--- a/crates/decide/tests/routing/queue.rs
+++ b/crates/decide/tests/routing/queue.rs
@@ -6,7 +6,7 @@
         Event,
         action::Reason,
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
         id::Ticket,
     },
     std::time::Duration,
@@ -43,8 +43,8 @@
     world.ask(0);
     assert!(world.wait(950).is_empty());
     let out = world.wait(50);
-    assert_eq!(reasons(&out), [Reason::Late]);
-    assert!(refusals(&out)[0].retry.is_some());
+    assert_eq!(reasons(&out), [Reason::WaitTooLong]);
+    assert!(refusals(&out)[0].retry_after.is_some());
 }
 
 // The caller would wait for nothing: 1. Requests take 4 s each, three at once. 2. Two wait already.
@@ -60,8 +60,8 @@
     assert!(world.ask(0).1.is_empty());
     assert!(world.ask(0).1.is_empty());
     let (_, out) = world.ask(0);
-    assert_eq!(reasons(&out), [Reason::Late]);
-    assert_eq!(refusals(&out)[0].retry, Some(Duration::from_secs(1)));
+    assert_eq!(reasons(&out), [Reason::WaitTooLong]);
+    assert_eq!(refusals(&out)[0].retry_after, Some(Duration::from_secs(1)));
 }
 
 #[test]
@@ -132,7 +132,7 @@
     let mut world = world(10, 1_000);
     let running = fill(&mut world);
     let (ticket, _) = world.ask(0);
-    assert!(world.step(Event::Forget(ticket)).is_empty());
+    assert!(world.step(Event::Cancel(ticket)).is_empty());
     assert!(world.done(running[0], Verdict::Ok).is_empty());
     assert!(world.wait(2_000).is_empty());
 }
@@ -142,9 +142,9 @@
     let mut world = world(10, 5_000);
     let running = fill(&mut world);
     world.ask(0);
-    let ask = Ask { purpose: Purpose::Resume, pin: Some(V1.into()), ..world.draft(0) };
+    let ask = RunnerRequest { purpose: Purpose::Resume, pin: Some(V1.into()), ..world.draft(0) };
     let ticket = ask.ticket;
-    world.step(Event::Ask(ask));
+    world.step(Event::Request(ask));
     let out = world.done(running[0], Verdict::Ok);
     assert_eq!(grants(&out)[0].ticket, ticket);
 }
--- a/crates/decide/tests/routing/world.rs
+++ b/crates/decide/tests/routing/world.rs
@@ -3,10 +3,10 @@
 
 use {
     bilberryfront_decide::{
-        Action, Core, Event, Place,
-        action::{Grant, Reason, Refuse},
+        Action, Core, Event, Location,
+        action::{Grant, Reason, Rejection},
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
-        event::{Ask, Done, PeerUse, Purpose, Verdict},
+        event::{Done, PeerUse, Purpose, RunnerRequest, Verdict},
         id::{AccountKey, EntryKey, RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -35,8 +35,8 @@
     /// A core in domain `a` whose one entry has `limits`, and an account for each bound.
     pub(crate) fn new(seed: u64, limits: Limits, bounds: &[u32]) -> World {
         let names = (0..bounds.len()).map(|i| format!("account-{i}")).collect::<Vec<_>>();
-        let catalog = Arc::new(Catalog::default().renew(1, &doc(limits, &names, bounds)));
-        let place = Place { region: "east-mids".into(), domain: "a".into() };
+        let catalog = Arc::new(Catalog::default().updated(1, &doc(limits, &names, bounds)));
+        let place = Location { region: "east-mids".into(), domain: "a".into() };
         let mut world = World {
             core: Core::new(seed, place),
             now: Instant::now(),
@@ -70,7 +70,7 @@
         let mut doc = self.core.catalog().doc();
         change(&mut doc);
         let revision = self.core.catalog().revision + 1;
-        let next = self.core.catalog().renew(revision, &doc);
+        let next = self.core.catalog().updated(revision, &doc);
         self.step(Event::Catalog { revision: next.revision, doc: Arc::new(next.doc()) })
     }
 
@@ -92,9 +92,9 @@
     }
 
     /// An ask of the account's, not yet sent to the core.
-    pub(crate) fn draft(&mut self, account: usize) -> Ask {
+    pub(crate) fn draft(&mut self, account: usize) -> RunnerRequest {
         self.ticket += 1;
-        Ask {
+        RunnerRequest {
             ticket: Ticket(self.ticket),
             entry: self.entry,
             account: self.accounts[account],
@@ -107,7 +107,7 @@
 
     pub(crate) fn ask(&mut self, account: usize) -> (Ticket, Vec<Action>) {
         let ask = self.draft(account);
-        (ask.ticket, self.step(Event::Ask(ask)))
+        (ask.ticket, self.step(Event::Request(ask)))
     }
 
     /// Asks and expects a grant at once.
@@ -120,8 +120,8 @@
 
     /// Asks with a prefix and gives the name of the runner that it was sent to.
     pub(crate) fn sent_to(&mut self, prefix: u64) -> (Ticket, String) {
-        let ask = Ask { prefix: Some(prefix), ..self.draft(0) };
-        let out = self.step(Event::Ask(ask));
+        let ask = RunnerRequest { prefix: Some(prefix), ..self.draft(0) };
+        let out = self.step(Event::Request(ask));
         let grant = grants(&out).pop().expect("a grant");
         (grant.ticket, self.name(grant.runner))
     }
@@ -133,14 +133,14 @@
     /// The runner failed the request, which asks for another.
     pub(crate) fn again(&mut self, grant: &Grant) -> Vec<Action> {
         let mut out = self.step(done(grant.ticket, Verdict::Broken, true));
-        let ask = Ask {
+        let ask = RunnerRequest {
             ticket: grant.ticket,
             pin: Some(grant.version.clone()),
             avoid: Some(grant.runner),
-            purpose: Purpose::Again,
+            purpose: Purpose::Retry,
             ..self.draft(0)
         };
-        out.extend(self.step(Event::Ask(ask)));
+        out.extend(self.step(Event::Request(ask)));
         out
     }
 
@@ -156,20 +156,20 @@
 }
 
 pub(crate) fn done(ticket: Ticket, verdict: Verdict, again: bool) -> Event {
-    Event::Done(Done { ticket, verdict, first: None, tokens: 0, again })
+    Event::Done(Done { ticket, verdict, first: None, tokens: 0, will_retry: again })
 }
 
 pub(crate) fn grants(out: &[Action]) -> Vec<Grant> {
     let grants = out.iter().filter_map(|a| match a {
         Action::Grant(grant) => Some(grant.clone()),
-        Action::Refuse(_) => None,
+        Action::Reject(_) => None,
     });
     grants.collect()
 }
 
-pub(crate) fn refusals(out: &[Action]) -> Vec<Refuse> {
+pub(crate) fn refusals(out: &[Action]) -> Vec<Rejection> {
     let refusals = out.iter().filter_map(|a| match a {
-        Action::Refuse(refuse) => Some(*refuse),
+        Action::Reject(refuse) => Some(*refuse),
         Action::Grant(_) => None,
     });
     refusals.collect()
--- a/crates/relay/src/control/members.rs
+++ b/crates/relay/src/control/members.rs
@@ -17,7 +17,7 @@
         id::Incarnation,
         member::{
             Address, Me, Members, Node, Output, PeerMessage,
-            message::{CatalogPush, Life, NodeLocation, NodeState},
+            message::{CatalogPush, NodeIncarnation, NodeLocation, NodeState},
         },
     },
     bilberryfront_peer::{PeerConfig, PeerError, PeerNet, Received},
@@ -98,7 +98,7 @@
         authority: authority.certificate.clone().into_bytes(),
     };
     let (net, events) = PeerNet::start(&config)?;
-    let life = Life { epoch: wall(), incarnation: Incarnation(rand::random()) };
+    let life = NodeIncarnation { epoch: wall(), incarnation: Incarnation(rand::random()) };
     let named = Me { name: me.name.clone(), life, location: location(&me) };
     let start = Instant::now();
     let members = Members::new(rand::random(), start, named);
@@ -150,7 +150,7 @@
         }
         let instances = self.listed.values().map(instance).collect();
         let list = InstanceList { revision: rows.revision, instances };
-        self.members.list(Instant::now(), &list);
+        self.members.apply_list(Instant::now(), &list);
         self.changed = true;
     }
 
@@ -181,7 +181,7 @@
     ) -> Vec<CompactString> {
         let mut out = Vec::new();
         match event {
-            Received::Broken(name) => self.members.broken(now, &name, &mut out),
+            Received::Broken(name) => self.members.connection_failed(now, &name, &mut out),
             Received::Message { from, message } => {
                 self.members.receive(now, &from, &message, &mut out);
             }
--- a/src/node/control_thread.rs
+++ b/src/node/control_thread.rs
@@ -12,13 +12,12 @@
         settings::Settings,
     },
     bilberryfront_decide::{
-        Core,
+        Core, location,
         member::{
             Drain, Members,
-            message::{Life, NodeLocation},
+            message::{NodeIncarnation, NodeLocation},
         },
         mover::Mover,
-        place,
     },
     compact_str::format_compact,
     std::{
@@ -99,7 +98,7 @@
     let membership = membership(&parts, net, address);
     tokio::spawn(membership.run(received, listed));
     let location =
-        place::Place { region: settings.region.clone(), domain: settings.domain.clone() };
+        location::Location { region: settings.region.clone(), domain: settings.domain.clone() };
     let core = Core::new(rand::random(), location);
     control::drive(core, inbox.events, published.clone()).await;
 }
@@ -119,7 +118,7 @@
         url: parts.url.clone(),
         peer: format_compact!("{address}"),
     };
-    let life = Life { epoch: wall(), incarnation: parts.incarnation };
+    let life = NodeIncarnation { epoch: wall(), incarnation: parts.incarnation };
     let me = bilberryfront_decide::member::Me { name: settings.name.clone(), life, location };
     Membership {
         members: Members::new(rand::random(), Instant::now(), me),
--- a/src/traffic/problem.rs
+++ b/src/traffic/problem.rs
@@ -1,7 +1,7 @@
 //! Error answers.
 
 use {
-    bilberryfront_decide::action::{Reason, Refuse},
+    bilberryfront_decide::action::{Reason, Rejection},
     bilberryfront_wire::problem::{PROBLEM_JSON, Problem, Run},
     compact_str::format_compact,
     http::{StatusCode, header},
@@ -154,18 +154,18 @@
 }
 
 /// Problem document for a rejection by the core.
-pub fn refusal(refuse: &Refuse) -> Problem {
+pub fn refusal(refuse: &Rejection) -> Problem {
     let (kind, detail) = match refuse.reason {
         Reason::NoEntry => (Kind::UnknownEntry, "the entry was just taken out of the catalogue"),
         Reason::NoAccess => (Kind::Forbidden, "ask the entry's owner for access"),
         Reason::AccountLimit => (Kind::AccountLimit, "wait until some of your requests have ended"),
         Reason::EntryLimit => (Kind::Overloaded, "the entry's limit and its queue are full"),
-        Reason::Late => (Kind::Overloaded, "the wait would be longer than the entry allows"),
+        Reason::WaitTooLong => (Kind::Overloaded, "the wait would be longer than the entry allows"),
         Reason::NoRunner => (Kind::NoRunner, "no live runner of the entry's version"),
         Reason::NoBudget => (Kind::NoRunner, "too many requests are being tried again"),
     };
     let problem = not_run(kind, detail);
-    match refuse.retry {
+    match refuse.retry_after {
         Some(after) => again(problem, after),
         None => problem,
     }
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -17,9 +17,9 @@
         metrics::{Counter, Timing},
     },
     bilberryfront_decide::{
-        action::{Grant, Reason, Refuse},
-        event::{Ask, Purpose, Verdict},
-        generation::{Generation, Phase, Take},
+        action::{Grant, Reason, Rejection},
+        event::{Purpose, RunnerRequest, Verdict},
+        generation::{Generation, Phase, TokenAction},
         id::{RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -123,7 +123,7 @@
     }
 
     async fn ask(&mut self) -> Option<Piece> {
-        let ask = Ask {
+        let ask = RunnerRequest {
             ticket: self.ticket,
             entry: self.job.entry,
             account: self.job.account,
@@ -136,10 +136,10 @@
             Ok(grant) => grant,
             Err(refuse) => return self.refused(&refuse),
         };
-        if self.purpose == Purpose::Again {
+        if self.purpose == Purpose::Retry {
             self.control.metrics().add(Counter::Resumes, 1);
         }
-        self.purpose = Purpose::Again;
+        self.purpose = Purpose::Retry;
         let lease = Lease::new(self.control.clone(), grant, self.chooser.trial());
         let generate = self.generate(&lease.grant);
         let wait = millis(self.job.limits.first_ms);
@@ -155,7 +155,7 @@
     }
 
     fn generate(&mut self, grant: &Grant) -> Generate {
-        let attempt = self.generation.granted(&grant.version);
+        let attempt = self.generation.start_attempt(&grant.version);
         Generate {
             request: self.job.leg.clone(),
             attempt,
@@ -176,10 +176,10 @@
         loop {
             match event {
                 Ok(RunnerEvent::Token(attempt, token)) => {
-                    match self.generation.token(attempt, &token) {
-                        Take::Deliver => batch.push(self.deliver(&mut open, token)),
-                        Take::Drop => self.control.metrics().add(Counter::DroppedTokens, 1),
-                        Take::Garbled => return self.stop(open, batch, Verdict::Garbled),
+                    match self.generation.accept(attempt, &token) {
+                        TokenAction::Deliver => batch.push(self.deliver(&mut open, token)),
+                        TokenAction::Drop => self.control.metrics().add(Counter::DroppedTokens, 1),
+                        TokenAction::Garbled => return self.stop(open, batch, Verdict::Garbled),
                     }
                 }
                 Ok(RunnerEvent::Finish(finish)) => {
@@ -251,7 +251,7 @@
             Failure::Refused(status) => {
                 lease.verdict = Verdict::Rejected;
                 lease.again = false;
-                self.generation.lost();
+                self.generation.runner_lost();
                 let detail = format!("the runner answered {status}");
                 return Some(Piece::Failed(unknown(not_run(Kind::RunnerRefused, detail))));
             }
@@ -259,10 +259,10 @@
         lease.verdict = verdict;
         lease.again = false;
         self.avoid = Some(lease.grant.runner);
-        if let Some(reason) = self.generation.lost() {
+        if let Some(reason) = self.generation.runner_lost() {
             return Some(Piece::Finish(reason));
         }
-        if self.chooser.fall_back() && self.generation.restart() {
+        if self.chooser.fall_back() && self.generation.try_restart() {
             self.start_over();
             return None;
         }
@@ -279,10 +279,10 @@
     /// No runner for now: starts over where no token was seen and another version may serve it, else
     /// ends at once. A request refused for lack of budget is not started over: that would go round
     /// the budget, and its retries would overload the runners that are left.
-    fn refused(&mut self, refuse: &Refuse) -> Option<Piece> {
+    fn refused(&mut self, refuse: &Rejection) -> Option<Piece> {
         let missing = refuse.reason == Reason::NoRunner;
-        let unseen = self.generation.restart() || self.generation.pin().is_none();
-        if missing && unseen && (self.purpose == Purpose::Again || self.chooser.fall_back()) {
+        let unseen = self.generation.try_restart() || self.generation.pin().is_none();
+        if missing && unseen && (self.purpose == Purpose::Retry || self.chooser.fall_back()) {
             self.start_over();
             return None;
         }
