--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -1,4 +1,7 @@
-//! Frame codec: version, size class, sender's name and message in postcard.
+//! Frame codec.
+//!
+//! A frame has a version byte and a class byte, followed by the sender's name and the message in
+//! postcard. Larger frames are compressed with LZ4 after the header.
 
 use {
     crate::{PeerError, Result},
@@ -10,23 +13,23 @@
 
 /// Protocol version.
 pub const VERSION: u8 = 5;
-/// Maximum size of a [`Class::Control`] frame.
+/// Maximum size of a [`Class::Control`] frame, in bytes.
 pub const CONTROL_LIMIT: usize = 256 * 1024;
-/// Maximum size of a [`Class::Catalog`] frame.
+/// Maximum size of a [`Class::Catalog`] frame, in bytes.
 pub const CATALOG_LIMIT: usize = 16 * 1024 * 1024;
-/// Maximum size of a [`Class::Table`] frame.
+/// Maximum size of a [`Class::Table`] frame, in bytes.
 pub const TABLE_LIMIT: usize = 4 * 1024 * 1024;
-/// Header size: version and class.
+/// Header size in bytes: version and class.
 pub const HEADER: usize = 2;
 /// Flag in the class byte of a compressed frame.
 const COMPRESSED: u8 = 0x80;
-/// Minimum size of a compressed frame.
-const COMPRESS_FROM: usize = 512;
-/// Size prefix of compressed data.
-const SIZE: usize = size_of::<u32>();
-/// Maximum usage lines or updates per heartbeat.
+/// Minimum size of a frame, before compression, that is sent compressed.
+const COMPRESS_MIN_BYTES: usize = 512;
+/// Size of the prefix of compressed data that states its uncompressed size.
+const SIZE_PREFIX_BYTES: usize = size_of::<u32>();
+/// Maximum usage entries or updates per heartbeat.
 const ITEMS_LIMIT: usize = 64;
-/// Maximum runners per load update.
+/// Maximum entries of each kind per load update.
 pub const LOADS_LIMIT: usize = 1_024;
 
 /// An encoded message.
@@ -42,7 +45,8 @@
     pub bytes: Bytes,
 }
 
-/// Size class; known from the header before the body is buffered.
+/// Size class of a frame. The header states it, so that the receiver knows the maximum size before
+/// it buffers the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// Control messages.
@@ -54,7 +58,7 @@
 }
 
 impl Class {
-    /// Class of a message.
+    /// Returns the class of a message.
     pub fn of(message: &PeerMessage) -> Class {
         match message {
             PeerMessage::CatalogPush(_) => Class::Catalog,
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Maximum frame size.
+    /// Returns the maximum frame size in bytes.
     pub fn limit(self) -> usize {
         match self {
             Class::Control => CONTROL_LIMIT,
@@ -72,7 +76,7 @@
         }
     }
 
-    /// Parses a header.
+    /// Parses a header; `None` for another version or an unknown class.
     pub fn read(header: [u8; HEADER]) -> Option<Class> {
         match [header[0], header[1] & !COMPRESSED] {
             [VERSION, 0] => Some(Class::Control),
@@ -96,13 +100,13 @@
 #[derive(thiserror::Error)]
 pub enum DecodeError {
     /// Unknown version or class, or truncated.
-    #[error("no frame of this version")]
+    #[error("unknown frame version or class, or truncated header")]
     Header,
-    /// Exceeds a limit.
-    #[error("too large")]
+    /// Exceeds the size or item limit of its message.
+    #[error("frame exceeds the size or item limit of its message")]
     Oversized,
-    /// Invalid postcard or trailing bytes.
-    #[error("not a message")]
+    /// Invalid LZ4 or postcard data, trailing bytes, or a message of another class.
+    #[error("frame body is not a message of the class in its header")]
     Garbled,
 }
 
@@ -115,7 +119,7 @@
     if bytes.len() > class.limit() {
         return Err(PeerError::Oversized(bytes.len()));
     }
-    let bytes = if bytes.len() < COMPRESS_FROM { bytes } else { compress(&bytes) };
+    let bytes = if bytes.len() < COMPRESS_MIN_BYTES { bytes } else { compress(&bytes) };
     let latest = matches!(message, PeerMessage::Heartbeat(_));
     let load = matches!(message, PeerMessage::Load(_) | PeerMessage::RelayedLoad(_));
     let datagram = latest || load;
@@ -138,7 +142,7 @@
     if !rest.is_empty() || Class::of(&message) != class {
         return Err(DecodeError::Garbled);
     }
-    if items(&message) > limit(&message) {
+    if item_count(&message) > item_limit(&message) {
         return Err(DecodeError::Oversized);
     }
     Ok((name, message))
@@ -151,16 +155,18 @@
     bytes
 }
 
-/// Checks the declared size first: a few bytes could expand to gigabytes.
+/// Decompresses a body. Checks the declared size first, because a few bytes could expand to
+/// gigabytes.
 fn decompress(body: &[u8], class: Class) -> std::result::Result<Vec<u8>, DecodeError> {
-    let size: &[u8; SIZE] = body.first_chunk().ok_or(DecodeError::Garbled)?;
+    let size: &[u8; SIZE_PREFIX_BYTES] = body.first_chunk().ok_or(DecodeError::Garbled)?;
     if u32::from_le_bytes(*size) as usize > class.limit() {
         return Err(DecodeError::Oversized);
     }
     lz4_flex::decompress_size_prepended(body).map_err(|_| DecodeError::Garbled)
 }
 
-fn items(message: &PeerMessage) -> usize {
+/// Returns the length of the longest list in the message.
+fn item_count(message: &PeerMessage) -> usize {
     match message {
         PeerMessage::Heartbeat(heartbeat) => heartbeat.updates.len().max(heartbeat.usage.len()),
         PeerMessage::MembersPush(claims) | PeerMessage::Claims(claims) => claims.len(),
@@ -172,7 +178,7 @@
     }
 }
 
-fn limit(message: &PeerMessage) -> usize {
+fn item_limit(message: &PeerMessage) -> usize {
     match message {
         PeerMessage::MembersPush(_) => MAX_MEMBERS + 1,
         PeerMessage::Load(_) | PeerMessage::RelayedLoad(_) => LOADS_LIMIT,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,8 @@
 //! Peer transport: QUIC with mutual TLS 1.3.
 //!
-//! Each node dials the nodes it sends to. Delivery is at most once: frames that cannot be sent soon
-//! are dropped and counted, as every message is repeated or requested again.
+//! Each node connects to the nodes to which it sends. Delivery is at most once: frames that cannot
+//! be sent within a short time are dropped and counted, because the protocol above repeats every
+//! message or requests it again.
 
 pub mod codec;
 mod queue;
@@ -35,7 +36,7 @@
 pub type Result<T> = std::result::Result<T, PeerError>;
 
 /// Capacity of the event queue; further events are dropped and counted.
-const EVENTS: usize = 1_024;
+const EVENT_QUEUE_LEN: usize = 1_024;
 /// Timeout for flushing on close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -43,8 +44,8 @@
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum PeerError {
-    /// Incomplete PEM file.
-    #[error("{part}: {cause}")]
+    /// Invalid or incomplete PEM file.
+    #[error("peer {part}: {cause}")]
     Pem {
         /// `certificate`, `key` or `authority`.
         part: &'static str,
@@ -70,12 +71,12 @@
         /// Cause.
         cause: io::Error,
     },
-    /// Message exceeds the frame limit.
-    #[error("the message has {0} bytes")]
+    /// Message exceeds the size limit of its class.
+    #[error("peer message of {0} bytes exceeds the size limit of its class")]
     Oversized(usize),
 }
 
-/// Configuration.
+/// Configuration of the transport.
 #[derive(Clone, Debug)]
 pub struct PeerConfig {
     /// Node name; must be the certificate's first DNS name.
@@ -90,7 +91,7 @@
     pub authority: Vec<u8>,
 }
 
-/// Events for the control thread.
+/// Events of the transport, for the control thread.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Received {
     /// A message from an authenticated node.
@@ -113,11 +114,11 @@
     pub received: u64,
     /// Messages dropped by a full queue or a failed connection.
     pub dropped: u64,
-    /// Rejected messages and connections.
+    /// Messages and connections that were rejected as invalid or above a limit.
     pub refused: u64,
 }
 
-/// Peer transport. Clones share it.
+/// Handle of the peer transport. Clones share its connections.
 #[derive(Clone)]
 pub struct PeerNet {
     shared: Arc<Shared>,
@@ -129,7 +130,7 @@
     client: quinn::ClientConfig,
     links: Mutex<FxHashMap<CompactString, Link>>,
     /// Nodes with an outstanding catalogue request.
-    pulled: Mutex<FxHashSet<CompactString>>,
+    catalog_requests: Mutex<FxHashSet<CompactString>>,
     events: mpsc::Sender<Received>,
     counters: Counters,
 }
@@ -167,7 +168,7 @@
     refused: AtomicU64,
 }
 
-fn count(counter: &AtomicU64) {
+fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
@@ -177,13 +178,13 @@
         let Identity { server, client } = tls::identity(config)?;
         let endpoint = Endpoint::server(server, config.listen)
             .map_err(|cause| PeerError::Listen { address: config.listen, cause })?;
-        let (events, receiver) = mpsc::channel(EVENTS);
+        let (events, receiver) = mpsc::channel(EVENT_QUEUE_LEN);
         let shared = Arc::new(Shared {
             name: config.name.clone(),
             endpoint,
             client,
             links: Mutex::default(),
-            pulled: Mutex::default(),
+            catalog_requests: Mutex::default(),
             events,
             counters: Counters::default(),
         });
@@ -191,26 +192,26 @@
         Ok((PeerNet { shared }, receiver))
     }
 
-    /// Local address.
+    /// Returns the local address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.shared.endpoint.local_addr()
     }
 
-    /// Queues a message for each target and returns its size. Queues are bounded; only the latest
-    /// heartbeat is kept.
+    /// Queues a message for each target and returns its encoded size in bytes. Queues are bounded
+    /// and keep only the latest heartbeat.
     pub fn send(&self, to: &[Target], message: &PeerMessage) -> Result<usize> {
         let frame = codec::encode(&self.shared.name, message)?;
         let bytes = frame.bytes.len();
         for target in to {
             match target.address.parse() {
-                Ok(address) => self.shared.push(target, address, message, frame.clone()),
-                Err(_) => count(&self.shared.counters.refused),
+                Ok(address) => self.shared.enqueue(target, address, message, frame.clone()),
+                Err(_) => increment(&self.shared.counters.refused),
             }
         }
         Ok(bytes)
     }
 
-    /// Current counters.
+    /// Returns the current counters.
     pub fn counts(&self) -> Counts {
         let counters = &self.shared.counters;
         let read = |c: &AtomicU64| c.load(Ordering::Relaxed);
@@ -242,11 +243,12 @@
         self.links.lock().expect("no holder of the lock panics")
     }
 
-    fn pulled(&self) -> std::sync::MutexGuard<'_, FxHashSet<CompactString>> {
-        self.pulled.lock().expect("no holder of the lock panics")
+    fn catalog_requests(&self) -> std::sync::MutexGuard<'_, FxHashSet<CompactString>> {
+        self.catalog_requests.lock().expect("no holder of the lock panics")
     }
 
-    fn push(
+    /// Queues a frame on the link to a node, which is created if absent.
+    fn enqueue(
         self: &Arc<Shared>,
         to: &Target,
         address: SocketAddr,
@@ -254,7 +256,7 @@
         frame: Frame,
     ) {
         if matches!(message, PeerMessage::CatalogPull(_)) {
-            self.pulled().insert(to.name.clone());
+            self.catalog_requests().insert(to.name.clone());
         }
         let mut links = self.links();
         let link = links.entry(to.name.clone()).or_insert_with(|| {
@@ -263,19 +265,19 @@
             Link { queue, task }
         });
         if !link.queue.push(address, frame) {
-            count(&self.counters.dropped);
+            increment(&self.counters.dropped);
         }
     }
 
-    /// Records an incoming connection; its node may have restarted.
-    fn announce(&self, name: &str) {
+    /// Notifies the link to a node that has connected to this one; the node may have restarted.
+    fn notify_incoming(&self, name: &str) {
         if let Some(link) = self.links().get(name) {
-            link.queue.announce();
+            link.queue.notify_incoming();
         }
     }
 
-    /// Removes an idle link unless a frame was queued meanwhile.
-    fn forget(&self, name: &str) -> bool {
+    /// Removes a link whose queue is empty; false if a frame was queued in the meantime.
+    fn remove_idle_link(&self, name: &str) -> bool {
         let mut links = self.links();
         let idle = links.get(name).is_none_or(|l| l.queue.is_empty());
         if idle {
@@ -284,22 +286,24 @@
         idle
     }
 
-    fn tell(&self, event: Received) {
+    /// Queues an event without blocking; it is dropped if the queue is full.
+    fn try_emit(&self, event: Received) {
         if self.events.try_send(event).is_err() {
-            count(&self.counters.dropped);
+            increment(&self.counters.dropped);
         }
     }
 
-    /// Handles a frame from the node named in the peer's certificate.
-    async fn take(&self, peer: &CompactString, class: Class, bytes: &[u8]) {
+    /// Decodes a frame and emits its message. The sender in the frame must be `peer`, the node named
+    /// in the certificate.
+    async fn handle_frame(&self, peer: &CompactString, class: Class, bytes: &[u8]) {
         let message = match codec::decode(bytes) {
             Ok((name, message)) if name == *peer && Class::of(&message) == class => message,
-            _ => return count(&self.counters.refused),
+            _ => return increment(&self.counters.refused),
         };
-        count(&self.counters.received);
+        increment(&self.counters.received);
         let event = Received::Message { from: peer.clone(), message };
         match class {
-            Class::Control => self.tell(event),
+            Class::Control => self.try_emit(event),
             Class::Catalog | Class::Table => _ = self.events.send(event).await,
         }
     }
--- a/crates/peer/src/queue.rs
+++ b/crates/peer/src/queue.rs
@@ -10,14 +10,15 @@
     tokio::sync::Notify,
 };
 
-/// Capacity for control messages; the oldest is dropped.
-const CONTROL: usize = 32;
+/// Capacity for control and table frames; when it is exceeded, the oldest is dropped.
+const CONTROL_QUEUE_LEN: usize = 32;
 
-/// Bounded queue with separate slots for the latest heartbeat and catalogue. Pushing never blocks.
+/// Bounded queue with a slot each for the latest heartbeat and the latest catalogue. Pushing never
+/// blocks.
 pub(super) struct Queue {
     state: Mutex<State>,
-    wake: Notify,
-    back: Notify,
+    changed: Notify,
+    incoming: Notify,
 }
 
 struct State {
@@ -44,10 +45,10 @@
             catalog: None,
             closed: false,
         };
-        Queue { state: Mutex::new(state), wake: Notify::new(), back: Notify::new() }
+        Queue { state: Mutex::new(state), changed: Notify::new(), incoming: Notify::new() }
     }
 
-    /// Pushes a frame and updates the address; false if another frame was dropped.
+    /// Pushes a frame and updates the node's address; false if an earlier frame was dropped for it.
     pub(super) fn push(&self, address: SocketAddr, frame: Frame) -> bool {
         let mut state = self.state();
         state.address = address;
@@ -56,14 +57,18 @@
             Class::Control if frame.latest => state.heartbeat.replace(frame),
             Class::Control | Class::Table => {
                 state.control.push_back(frame);
-                if state.control.len() > CONTROL { state.control.pop_front() } else { None }
+                if state.control.len() > CONTROL_QUEUE_LEN {
+                    state.control.pop_front()
+                } else {
+                    None
+                }
             }
         };
-        self.wake.notify_one();
+        self.changed.notify_one();
         dropped.is_none()
     }
 
-    /// Waits for a frame; `None` once closed and empty.
+    /// Waits for the next frame; `None` once the queue is closed and empty.
     pub(super) async fn next(&self) -> Option<Frame> {
         loop {
             {
@@ -73,18 +78,18 @@
                     return next;
                 }
             }
-            self.wake.notified().await;
+            self.changed.notified().await;
         }
     }
 
     /// Signals an incoming connection from the node.
-    pub(super) fn announce(&self) {
-        self.back.notify_one();
+    pub(super) fn notify_incoming(&self) {
+        self.incoming.notify_one();
     }
 
     /// Waits for an incoming connection from the node.
-    pub(super) async fn announced(&self) {
-        self.back.notified().await;
+    pub(super) async fn incoming(&self) {
+        self.incoming.notified().await;
     }
 
     pub(super) fn address(&self) -> SocketAddr {
@@ -98,7 +103,7 @@
 
     pub(super) fn close(&self) {
         self.state().closed = true;
-        self.wake.notify_one();
+        self.changed.notify_one();
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/crates/peer/src/receiver.rs
+++ b/crates/peer/src/receiver.rs
@@ -4,7 +4,7 @@
     crate::{
         Shared,
         codec::{Class, HEADER},
-        count, tls,
+        increment, tls,
     },
     compact_str::CompactString,
     quinn::{Connection, Incoming, RecvStream, VarInt},
@@ -12,20 +12,20 @@
     tokio::time::timeout,
 };
 
-/// Maximum connections, in and out.
-const CONNECTIONS: usize = 512;
+/// Incoming connections are rejected while so many are open, outgoing ones included.
+const MAX_CONNECTIONS: usize = 512;
 /// Handshake timeout.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout for reading a message.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why reading a message failed.
-struct Unread;
+struct ReadError;
 
 pub(super) async fn run(shared: Arc<Shared>) {
     while let Some(incoming) = shared.endpoint.accept().await {
-        if shared.endpoint.open_connections() >= CONNECTIONS {
-            count(&shared.counters.refused);
+        if shared.endpoint.open_connections() >= MAX_CONNECTIONS {
+            increment(&shared.counters.refused);
             incoming.refuse();
             continue;
         }
@@ -33,17 +33,18 @@
     }
 }
 
-/// One task per connection, so that a stalled handshake blocks no other.
+/// Completes the handshake and serves the connection. Each connection has its own task, so that a
+/// stalled handshake does not delay the others.
 async fn accept(shared: Arc<Shared>, incoming: Incoming) {
     let Ok(Ok(connection)) = timeout(HANDSHAKE_TIMEOUT, incoming).await else {
-        return count(&shared.counters.refused);
+        return increment(&shared.counters.refused);
     };
     match tls::peer_name(&connection) {
         Some(peer) => {
-            shared.announce(&peer);
+            shared.notify_incoming(&peer);
             serve(&shared, &connection, peer).await;
         }
-        None => count(&shared.counters.refused),
+        None => increment(&shared.counters.refused),
     }
 }
 
@@ -51,41 +52,41 @@
     loop {
         tokio::select! {
             datagram = connection.read_datagram() => match datagram {
-                Ok(bytes) => shared.take(&peer, Class::Control, &bytes).await,
+                Ok(bytes) => shared.handle_frame(&peer, Class::Control, &bytes).await,
                 Err(_) => return,
             },
             stream = connection.accept_uni() => match stream {
-                Ok(stream) => _ = tokio::spawn(take(shared.clone(), peer.clone(), stream)),
+                Ok(stream) => _ = tokio::spawn(receive(shared.clone(), peer.clone(), stream)),
                 Err(_) => return,
             },
         }
     }
 }
 
-/// Reads a message. The transport limits the number of open streams.
-async fn take(shared: Arc<Shared>, peer: CompactString, mut stream: RecvStream) {
-    match timeout(READ_TIMEOUT, read(&shared, &peer, &mut stream)).await {
-        Ok(Ok((class, bytes))) => shared.take(&peer, class, &bytes).await,
+/// Reads a frame from a stream and handles it. The transport limits the number of open streams.
+async fn receive(shared: Arc<Shared>, peer: CompactString, mut stream: RecvStream) {
+    match timeout(READ_TIMEOUT, read_frame(&shared, &peer, &mut stream)).await {
+        Ok(Ok((class, bytes))) => shared.handle_frame(&peer, class, &bytes).await,
         _ => {
-            count(&shared.counters.refused);
+            increment(&shared.counters.refused);
             _ = stream.stop(VarInt::from_u32(0));
         }
     }
 }
 
-async fn read(
+async fn read_frame(
     shared: &Shared,
     peer: &CompactString,
     stream: &mut RecvStream,
-) -> Result<(Class, Vec<u8>), Unread> {
+) -> Result<(Class, Vec<u8>), ReadError> {
     let mut header = [0; HEADER];
-    stream.read_exact(&mut header).await.map_err(|_| Unread)?;
-    let class = Class::read(header).ok_or(Unread)?;
-    // Bounds the memory that one node can claim with unsolicited catalogues.
-    if class == Class::Catalog && !shared.pulled().remove(peer) {
-        return Err(Unread);
+    stream.read_exact(&mut header).await.map_err(|_| ReadError)?;
+    let class = Class::read(header).ok_or(ReadError)?;
+    // Rejects unsolicited catalogues, to bound the memory that one node can use.
+    if class == Class::Catalog && !shared.catalog_requests().remove(peer) {
+        return Err(ReadError);
     }
-    let mut bytes = stream.read_to_end(class.limit() - HEADER).await.map_err(|_| Unread)?;
+    let mut bytes = stream.read_to_end(class.limit() - HEADER).await.map_err(|_| ReadError)?;
     bytes.splice(..0, header);
     Ok((class, bytes))
 }
--- a/crates/peer/src/sender.rs
+++ b/crates/peer/src/sender.rs
@@ -1,10 +1,10 @@
-//! Sending task of one node.
+//! Task that sends the queued frames to one node.
 
 use {
     crate::{
         Received, Shared,
         codec::{Class, Frame},
-        count,
+        increment,
         queue::Queue,
         tls,
     },
@@ -25,46 +25,53 @@
 /// Write timeout of a catalogue.
 const CATALOG_TIMEOUT: Duration = Duration::from_secs(10);
 /// Initial backoff; doubles with each failure.
-const BACKOFF_LEAST: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Maximum backoff.
-const BACKOFF_MOST: Duration = Duration::from_secs(2);
-/// Minimum age at which an outgoing connection is replaced when its node connects to this one.
-/// After a restart of the node the old connection would swallow messages until it times out.
-const RENEW_AGE: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Minimum age at which an outgoing connection is replaced when its node connects to this one. If
+/// the node has restarted, messages on the old connection would be lost until it times out.
+const MIN_RENEW_AGE: Duration = Duration::from_secs(1);
 /// Idle time after which the link is removed.
-const IDLE: Duration = Duration::from_secs(30);
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a connection is unusable.
-struct Unsent;
+/// The frame could not be sent and the connection is unusable.
+struct SendFailed;
 
 pub(super) async fn run(shared: Arc<Shared>, name: CompactString, queue: Arc<Queue>) {
-    let mut sender =
-        Sender { shared, name, queue, link: None, backoff: BACKOFF_LEAST, used: Instant::now() };
+    let mut sender = Sender {
+        shared,
+        name,
+        queue,
+        link: None,
+        backoff: INITIAL_BACKOFF,
+        last_used: Instant::now(),
+    };
     while let Some(frame) = sender.next().await {
         sender.send(frame).await;
     }
-    sender.finish().await;
+    sender.flush().await;
 }
 
 struct Sender {
     shared: Arc<Shared>,
     name: CompactString,
     queue: Arc<Queue>,
-    link: Option<Open>,
+    link: Option<OpenConnection>,
     backoff: Duration,
-    used: Instant,
+    last_used: Instant,
 }
 
 /// An open connection.
-struct Open {
+struct OpenConnection {
     connection: Connection,
-    made: Instant,
+    opened_at: Instant,
     stream: Option<SendStream>,
     catalog: Option<JoinHandle<()>>,
 }
 
 impl Sender {
-    /// Waits for the next frame while watching the connection; `None` once the queue is closed.
+    /// Waits for the next frame and handles events of the connection meanwhile; `None` once the queue
+    /// is closed or the link was idle.
     async fn next(&mut self) -> Option<Frame> {
         loop {
             let link = self.link.as_ref().map(|l| l.connection.clone());
@@ -75,56 +82,58 @@
                 }
             };
             tokio::select! {
-                next = timeout(IDLE, self.queue.next()) => match next {
+                next = timeout(LINK_IDLE_TIMEOUT, self.queue.next()) => match next {
                     Ok(next) => return next,
-                    Err(_) if self.shared.forget(&self.name) => return None,
+                    Err(_) if self.shared.remove_idle_link(&self.name) => return None,
                     Err(_) => {}
                 },
-                reason = closed => self.closed(&reason),
-                () = self.queue.announced() => self.renew(),
+                reason = closed => self.handle_close(&reason),
+                () = self.queue.incoming() => self.renew(),
             }
         }
     }
 
-    /// An idle timeout is not evidence against the node; any other error is.
-    fn closed(&mut self, reason: &ConnectionError) {
+    /// Reports a failed connection. A connection that times out after no frame was sent on it for
+    /// that time says nothing about the node and is not reported.
+    fn handle_close(&mut self, reason: &ConnectionError) {
         self.link = None;
-        let idle =
-            matches!(reason, ConnectionError::TimedOut) && self.used.elapsed() >= tls::IDLE_TIMEOUT;
+        let idle = matches!(reason, ConnectionError::TimedOut)
+            && self.last_used.elapsed() >= tls::IDLE_TIMEOUT;
         if !idle {
-            self.shared.tell(Received::Broken(self.name.clone()));
+            self.shared.try_emit(Received::Broken(self.name.clone()));
         }
     }
 
-    /// Handles an incoming connection of the node.
+    /// Drops the outgoing connection, unless it is recent, after the node has connected to this one.
     fn renew(&mut self) {
-        self.backoff = BACKOFF_LEAST;
-        if self.link.as_ref().is_some_and(|link| link.made.elapsed() >= RENEW_AGE) {
+        self.backoff = INITIAL_BACKOFF;
+        if self.link.as_ref().is_some_and(|link| link.opened_at.elapsed() >= MIN_RENEW_AGE) {
             self.link = None;
         }
     }
 
     async fn send(&mut self, frame: Frame) {
         let shared = self.shared.clone();
-        let sent = match self.open().await {
+        let sent = match self.connection().await {
             Some(link) => link.send(&shared, frame).await,
-            None => Err(Unsent),
+            None => Err(SendFailed),
         };
-        self.used = Instant::now();
+        self.last_used = Instant::now();
         match sent {
             Ok(()) => {
-                count(&self.shared.counters.sent);
-                self.backoff = BACKOFF_LEAST;
+                increment(&self.shared.counters.sent);
+                self.backoff = INITIAL_BACKOFF;
             }
-            Err(Unsent) => self.failed().await,
+            Err(SendFailed) => self.back_off().await,
         }
     }
 
-    async fn open(&mut self) -> Option<&mut Open> {
+    /// Returns the open connection, or connects if there is none.
+    async fn connection(&mut self) -> Option<&mut OpenConnection> {
         if self.link.as_ref().is_none_or(|l| l.connection.close_reason().is_some()) {
             let connection = self.connect().await?;
-            let made = Instant::now();
-            self.link = Some(Open { connection, made, stream: None, catalog: None });
+            let opened_at = Instant::now();
+            self.link = Some(OpenConnection { connection, opened_at, stream: None, catalog: None });
         }
         self.link.as_mut()
     }
@@ -133,10 +142,11 @@
         let Shared { endpoint, client, counters, .. } = &*self.shared;
         let connect =
             || endpoint.connect_with(client.clone(), self.queue.address(), &self.name).ok();
-        // The initial packet is retransmitted only after a second, so a new handshake is faster.
+        // QUIC retransmits the initial packet only after a second. If the node connects to this one
+        // meanwhile, it can be reached now, and a new handshake is faster.
         let first = tokio::select! {
             first = timeout(CONNECT_TIMEOUT, connect()?) => Some(first),
-            () = self.queue.announced() => None,
+            () = self.queue.incoming() => None,
         };
         let connected = match first {
             Some(first) => first,
@@ -144,31 +154,32 @@
         };
         let connection = connected.ok()?.ok()?;
         if tls::peer_name(&connection).as_ref() != Some(&self.name) {
-            count(&counters.refused);
+            increment(&counters.refused);
             connection.close(VarInt::from_u32(0), b"name");
             return None;
         }
         Some(connection)
     }
 
-    /// Waits for the backoff, with jitter.
-    async fn failed(&mut self) {
-        count(&self.shared.counters.dropped);
+    /// Closes the connection, reports it as failed and waits for the backoff, with jitter.
+    async fn back_off(&mut self) {
+        increment(&self.shared.counters.dropped);
         if let Some(link) = self.link.take() {
             link.connection.close(VarInt::from_u32(0), b"stuck");
         }
-        self.shared.tell(Received::Broken(self.name.clone()));
-        let share = rand::rng().random_range(0.5..1.0);
+        self.shared.try_emit(Received::Broken(self.name.clone()));
+        let jitter = rand::rng().random_range(0.5..1.0);
         tokio::select! {
-            () = tokio::time::sleep(self.backoff.mul_f64(share)) => {
-                self.backoff = (self.backoff * 2).min(BACKOFF_MOST);
+            () = tokio::time::sleep(self.backoff.mul_f64(jitter)) => {
+                self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
             }
-            () = self.queue.announced() => self.backoff = BACKOFF_LEAST,
+            () = self.queue.incoming() => self.backoff = INITIAL_BACKOFF,
         }
     }
 
-    /// Waits until the last message is acknowledged; the caller sets the timeout.
-    async fn finish(self) {
+    /// Waits until the last message and a catalogue in transfer are acknowledged; the caller sets the
+    /// timeout.
+    async fn flush(self) {
         let Some(link) = self.link else { return };
         if let Some(stream) = link.stream {
             _ = stream.stopped().await;
@@ -179,27 +190,28 @@
     }
 }
 
-impl Open {
-    /// Sends small supersedable frames as datagrams and all others on their own streams, which
-    /// avoids head-of-line blocking.
-    async fn send(&mut self, shared: &Shared, frame: Frame) -> Result<(), Unsent> {
+impl OpenConnection {
+    /// Sends a frame as a datagram if its kind permits it and it fits. All others get a stream of
+    /// their own, which avoids head-of-line blocking.
+    async fn send(&mut self, shared: &Shared, frame: Frame) -> Result<(), SendFailed> {
         match frame {
             Frame { class: Class::Catalog, .. } => self.send_catalog(shared, frame),
-            Frame { datagram: true, .. } if self.fits(&frame) => {
-                self.connection.send_datagram(frame.bytes).map_err(|_| Unsent)?;
+            Frame { datagram: true, .. } if self.fits_datagram(&frame) => {
+                self.connection.send_datagram(frame.bytes).map_err(|_| SendFailed)?;
             }
             frame => {
                 let write = write(&self.connection, frame);
-                self.stream = Some(timeout(WRITE_TIMEOUT, write).await.map_err(|_| Unsent)??);
+                self.stream = Some(timeout(WRITE_TIMEOUT, write).await.map_err(|_| SendFailed)??);
             }
         }
         Ok(())
     }
 
-    /// Writes a catalogue in the background; a second one is dropped meanwhile and requested again.
+    /// Writes a catalogue in the background. Another one is dropped until then; its receiver requests
+    /// it again.
     fn send_catalog(&mut self, shared: &Shared, frame: Frame) {
         if self.catalog.as_ref().is_some_and(|task| !task.is_finished()) {
-            return count(&shared.counters.dropped);
+            return increment(&shared.counters.dropped);
         }
         let connection = self.connection.clone();
         let write = async move {
@@ -212,14 +224,14 @@
         }));
     }
 
-    fn fits(&self, frame: &Frame) -> bool {
-        self.connection.max_datagram_size().is_some_and(|most| frame.bytes.len() <= most)
+    fn fits_datagram(&self, frame: &Frame) -> bool {
+        self.connection.max_datagram_size().is_some_and(|limit| frame.bytes.len() <= limit)
     }
 }
 
-async fn write(connection: &Connection, frame: Frame) -> Result<SendStream, Unsent> {
-    let mut stream = connection.open_uni().await.map_err(|_| Unsent)?;
-    stream.write_chunk(frame.bytes).await.map_err(|_| Unsent)?;
-    stream.finish().map_err(|_| Unsent)?;
+async fn write(connection: &Connection, frame: Frame) -> Result<SendStream, SendFailed> {
+    let mut stream = connection.open_uni().await.map_err(|_| SendFailed)?;
+    stream.write_chunk(frame.bytes).await.map_err(|_| SendFailed)?;
+    stream.finish().map_err(|_| SendFailed)?;
     Ok(stream)
 }
--- a/crates/peer/src/tls.rs
+++ b/crates/peer/src/tls.rs
@@ -19,12 +19,12 @@
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// ALPN protocol.
 const ALPN: &[u8] = b"bilberryfront/1";
-/// Incoming streams per connection, one message each.
-const STREAMS: u32 = 16;
-/// Receive window per connection and per stream.
-const WINDOW: u32 = 2 * 1024 * 1024;
-/// Datagram buffer size.
-const DATAGRAMS: usize = 64 * 1024;
+/// Maximum concurrent incoming streams per connection, with one message each.
+const MAX_STREAMS: u32 = 16;
+/// Receive window per connection and per stream, and send window.
+const WINDOW_BYTES: u32 = 2 * 1024 * 1024;
+/// Size of the send and receive buffers for datagrams.
+const DATAGRAM_BUFFER_BYTES: usize = 64 * 1024;
 
 /// TLS configuration for both roles.
 pub struct Identity {
@@ -34,20 +34,21 @@
     pub client: quinn::ClientConfig,
 }
 
-/// Loads and checks the certificates.
+/// Parses the certificates and builds the TLS configurations. The first DNS name of the certificate
+/// must be the node's name.
 pub fn identity(config: &PeerConfig) -> Result<Identity> {
-    let chain = certificates("certificate", &config.certificate)?;
-    let key = PrivateKeyDer::from_pem_slice(&config.key).map_err(|e| pem("key", &e))?;
-    let found = first_name(&chain[0]).unwrap_or_default();
+    let chain = parse_certificates("certificate", &config.certificate)?;
+    let key = PrivateKeyDer::from_pem_slice(&config.key).map_err(|e| pem_error("key", &e))?;
+    let found = first_dns_name(&chain[0]).unwrap_or_default();
     if found != config.name {
         return Err(PeerError::Name { name: config.name.clone(), found });
     }
-    let roots = Arc::new(roots(&config.authority)?);
-    let transport = Arc::new(transport());
-    let server = server(roots.clone(), chain.clone(), key.clone_key()).map_err(tls)?;
-    let client = client(roots, chain, key).map_err(tls)?;
-    let server = QuicServerConfig::try_from(server).map_err(tls)?;
-    let client = QuicClientConfig::try_from(client).map_err(tls)?;
+    let roots = Arc::new(root_store(&config.authority)?);
+    let transport = Arc::new(transport_config());
+    let server = server_config(roots.clone(), chain.clone(), key.clone_key()).map_err(tls_error)?;
+    let client = client_config(roots, chain, key).map_err(tls_error)?;
+    let server = QuicServerConfig::try_from(server).map_err(tls_error)?;
+    let client = QuicClientConfig::try_from(client).map_err(tls_error)?;
     let mut server = quinn::ServerConfig::with_crypto(Arc::new(server));
     let mut client = quinn::ClientConfig::new(Arc::new(client));
     server.transport_config(transport.clone());
@@ -55,35 +56,35 @@
     Ok(Identity { server, client })
 }
 
-/// First DNS name of the peer's certificate.
+/// Returns the first DNS name of the peer's certificate.
 pub fn peer_name(connection: &Connection) -> Option<CompactString> {
     let chain = connection.peer_identity()?.downcast::<Vec<CertificateDer<'static>>>().ok()?;
-    first_name(chain.first()?)
+    first_dns_name(chain.first()?)
 }
 
-fn first_name(certificate: &CertificateDer<'_>) -> Option<CompactString> {
+fn first_dns_name(certificate: &CertificateDer<'_>) -> Option<CompactString> {
     let certificate = webpki::EndEntityCert::try_from(certificate).ok()?;
     certificate.valid_dns_names().next().map(CompactString::from)
 }
 
-fn certificates(part: &'static str, text: &[u8]) -> Result<Vec<CertificateDer<'static>>> {
+fn parse_certificates(part: &'static str, text: &[u8]) -> Result<Vec<CertificateDer<'static>>> {
     let all = CertificateDer::pem_slice_iter(text).collect::<std::result::Result<Vec<_>, _>>();
-    let all = all.map_err(|e| pem(part, &e))?;
+    let all = all.map_err(|e| pem_error(part, &e))?;
     if all.is_empty() {
-        return Err(PeerError::Pem { part, cause: "no certificate in it".into() });
+        return Err(PeerError::Pem { part, cause: "no certificate in the PEM file".into() });
     }
     Ok(all)
 }
 
-fn roots(authority: &[u8]) -> Result<RootCertStore> {
+fn root_store(authority: &[u8]) -> Result<RootCertStore> {
     let mut roots = RootCertStore::empty();
-    for certificate in certificates("authority", authority)? {
-        roots.add(certificate).map_err(tls)?;
+    for certificate in parse_certificates("authority", authority)? {
+        roots.add(certificate).map_err(tls_error)?;
     }
     Ok(roots)
 }
 
-fn server(
+fn server_config(
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -98,7 +99,7 @@
     Ok(config)
 }
 
-fn client(
+fn client_config(
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -111,25 +112,25 @@
     Ok(config)
 }
 
-fn transport() -> TransportConfig {
-    let idle = IdleTimeout::try_from(IDLE_TIMEOUT).expect("the timeout fits the wire form");
+fn transport_config() -> TransportConfig {
+    let idle = IdleTimeout::try_from(IDLE_TIMEOUT).expect("the timeout fits a QUIC varint");
     let mut transport = TransportConfig::default();
     transport
         .max_idle_timeout(Some(idle))
-        .max_concurrent_uni_streams(VarInt::from_u32(STREAMS))
+        .max_concurrent_uni_streams(VarInt::from_u32(MAX_STREAMS))
         .max_concurrent_bidi_streams(VarInt::from_u32(0))
-        .receive_window(VarInt::from_u32(WINDOW))
-        .stream_receive_window(VarInt::from_u32(WINDOW))
-        .send_window(u64::from(WINDOW))
-        .datagram_receive_buffer_size(Some(DATAGRAMS))
-        .datagram_send_buffer_size(DATAGRAMS);
+        .receive_window(VarInt::from_u32(WINDOW_BYTES))
+        .stream_receive_window(VarInt::from_u32(WINDOW_BYTES))
+        .send_window(u64::from(WINDOW_BYTES))
+        .datagram_receive_buffer_size(Some(DATAGRAM_BUFFER_BYTES))
+        .datagram_send_buffer_size(DATAGRAM_BUFFER_BYTES);
     transport
 }
 
-fn pem(part: &'static str, error: &rustls_pki_types::pem::Error) -> PeerError {
+fn pem_error(part: &'static str, error: &rustls_pki_types::pem::Error) -> PeerError {
     PeerError::Pem { part, cause: error.to_string() }
 }
 
-fn tls(error: impl std::fmt::Display) -> PeerError {
+fn tls_error(error: impl std::fmt::Display) -> PeerError {
     PeerError::Tls(error.to_string())
 }
--- a/crates/wire/src/completion.rs
+++ b/crates/wire/src/completion.rs
@@ -1,4 +1,5 @@
-//! The callers' completions face (`POST /v1/completions`).
+//! The callers' interface: completions (`POST /v1/completions`) and addresses
+//! (`GET /v1/addresses`).
 
 use {
     compact_str::CompactString,
@@ -10,32 +11,33 @@
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CompletionRequest {
-    /// Name of a catalogue entry.
+    /// Name of the catalogue entry.
     pub model: CompactString,
     /// Text to complete.
     pub prompt: String,
-    /// Most tokens to generate; the entry's limit when absent.
+    /// Maximum tokens to generate; the entry's limit if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u32>,
-    /// Whether the answer is a stream of server-sent events.
+    /// Whether the response is a stream of server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Text that the caller already holds, sent together with `Last-Event-ID` after a cut.
+    /// Text that the caller has already received, sent with `Last-Event-ID` to resume an interrupted
+    /// stream.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<String>,
 }
 
-/// One event's data in a streamed answer, or the whole answer when not streamed.
+/// Data of one event of a streamed response, or the body of a response that is not streamed.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Completion {
-    /// The request's identifier, the same in every event of one generation.
+    /// Identifier of the request, the same in every event of one generation.
     pub id: CompactString,
     /// Name of the catalogue entry.
     pub model: CompactString,
-    /// Always one choice.
+    /// Always exactly one choice.
     pub choices: Vec<Choice>,
-    /// Tokens counted; in the last event or the whole answer.
+    /// Token counts, in the last event or in a response that is not streamed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
@@ -46,9 +48,9 @@
 pub struct Choice {
     /// Always 0.
     pub index: u32,
-    /// Generated text, to be appended to what came before.
+    /// Generated text, to be appended to that of the previous events.
     pub text: String,
-    /// Set in the last event, or in the whole answer.
+    /// Set in the last event and in a response that is not streamed.
     pub finish_reason: Option<FinishReason>,
 }
 
@@ -57,31 +59,31 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended its answer.
+    /// The model ended the generation.
     Stop,
     /// `max_tokens` was reached.
     Length,
 }
 
-/// Token counts of one answer.
+/// Token counts of one generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Usage {
-    /// Tokens in the whole answer, those before a resume included.
+    /// Tokens of the whole generation, including those sent before it was resumed.
     pub completion_tokens: u32,
 }
 
-/// Answer of `GET /v1/addresses`.
+/// Response of `GET /v1/addresses`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Addresses {
-    /// Nodes that take new requests; those in the asked node's failure domain come first.
+    /// Nodes that accept new requests, those in the responding node's failure domain first.
     pub addresses: Vec<NodeAddress>,
-    /// How long, in seconds, the caller may keep this answer.
+    /// Time for which the caller may cache this response, in seconds.
     pub ttl_seconds: u32,
 }
 
-/// Where one node serves callers.
+/// Address at which a node serves callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct NodeAddress {
--- a/crates/wire/src/instance.rs
+++ b/crates/wire/src/instance.rs
@@ -1,17 +1,18 @@
-//! The platform's list of instances (`GET /instances`), which lags behind the truth.
+//! The platform's instance list (`GET /instances`), which may be out of date.
 
 use {
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
 };
 
-/// Answer of `GET /instances`.
+/// Response of `GET /instances`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct InstanceList {
-    /// Grows with every change of the list; a lower number than one already read is stale.
+    /// Increases with every change of the list; a list with a lower revision than one already read is
+    /// stale.
     pub revision: u64,
-    /// All instances that the platform believes to exist.
+    /// All instances known to the platform.
     pub instances: Vec<Instance>,
 }
 
@@ -19,31 +20,31 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Instance {
-    /// Unique name; a replaced instance gets a new one.
+    /// Unique name; the replacement of an instance gets another name.
     pub name: CompactString,
-    /// What it is.
+    /// Kind of instance.
     pub kind: InstanceKind,
-    /// Base URL of its HTTP face.
+    /// Base URL of its HTTP interface.
     pub url: CompactString,
     /// Failure domain.
     pub domain: CompactString,
-    /// Catalogue entry it serves; empty for a node.
+    /// Catalogue entry that it serves; empty for a node.
     #[serde(default)]
     pub entry: CompactString,
-    /// Version it runs; empty for a node.
+    /// Version that it runs; empty for a node.
     #[serde(default)]
     pub version: CompactString,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: InstanceState,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     #[serde(default)]
     pub fenced: bool,
-    /// Address of its peer face (`IP:PORT`, UDP); only for a node.
+    /// Address of its peer transport (`IP:PORT`, UDP); only for a node.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer: Option<CompactString>,
 }
 
-/// What an instance is.
+/// Kind of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -52,17 +53,17 @@
     Engine,
     /// A plain service.
     Service,
-    /// One of bilberryfront's own nodes.
+    /// A node of bilberryfront.
     Node,
 }
 
-/// Whether an instance takes new work.
+/// Whether an instance accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// In service.
+    /// Accepts new requests.
     Live,
-    /// Finishing what it has; gets nothing new.
+    /// Draining: finishes its requests and gets no new ones.
     Leaving,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! Types of the faces that bilberryfront shows to, or expects from, others.
+//! Types of the HTTP interfaces that bilberryfront offers to callers and uses of runners and the
+//! platform.
 //!
-//! Nothing here decides anything: the stand-ins share these types with the product and no other
-//! code.
+//! This crate holds types and constants only. The stand-ins share them with the product and share no
+//! other code.
 
 pub mod completion;
 pub mod instance;
--- a/crates/wire/src/problem.rs
+++ b/crates/wire/src/problem.rs
@@ -1,29 +1,29 @@
-//! Problem documents (RFC 9457), the form of every error answer.
+//! Problem details (RFC 9457), the format of every error response.
 
 use {
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
 };
 
-/// Media type of a problem document.
+/// Media type of problem details.
 pub const PROBLEM_JSON: &str = "application/problem+json";
 
-/// An error answer.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Problem {
     /// Kind of problem, a relative URI such as `/problems/overloaded`.
     #[serde(rename = "type")]
     pub kind: CompactString,
-    /// Short summary, the same for every problem of this kind.
+    /// Short summary, the same for all problems of this kind.
     pub title: CompactString,
     /// HTTP status.
     pub status: u16,
-    /// What happened this time and what to do.
+    /// What happened in this case and how to proceed.
     pub detail: String,
-    /// Whether the request was executed.
+    /// How much of the request was executed.
     pub run: Run,
-    /// Seconds after which asking again may help; also in `Retry-After`.
+    /// Seconds after which a retry may succeed; also in `Retry-After`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u32>,
 }
@@ -33,10 +33,10 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Run {
-    /// Nothing reached a back end. Always true when said.
+    /// Nothing reached a back end. This is a guarantee: the request can safely be sent again.
     NotRun,
     /// A back end may have executed it.
     Unknown,
-    /// Part of the answer was delivered and the rest will not come.
+    /// Part of the response was delivered and the rest will not follow.
     Partial,
 }
--- a/crates/wire/src/runner.rs
+++ b/crates/wire/src/runner.rs
@@ -1,10 +1,11 @@
-//! The runners' faces: model engines and what every runner reports of itself.
+//! The runners' interface: generations of model engines, and load reports and orders of all runners.
 //!
-//! - `POST /generate` with [`Generate`]: answered as server-sent events, one [`Token`] each, whose
-//!   event id is `ATTEMPT:INDEX`; then one event of type `finish` with [`Finish`]; then the data
+//! - `POST /generate` with [`Generate`] returns server-sent events: one [`Token`] each, with the
+//!   event id `ATTEMPT:INDEX`; then one event of type `finish` with [`Finish`]; then the data
 //!   `[DONE]`. Closing the connection cancels the generation.
-//! - `GET /load`: a [`LoadReport`].
-//! - `POST /orders` with [`Order`]: 204 when done, 409 when the fencing number is old.
+//! - `GET /load` returns a [`LoadReport`].
+//! - `POST /orders` with [`Order`] returns 204 if it was executed, 409 if its fencing token is
+//!   outdated.
 
 use {
     crate::completion::FinishReason,
@@ -23,21 +24,21 @@
 pub struct Generate {
     /// Identifier of the caller's request.
     pub request: CompactString,
-    /// Which try of this request it is, from 1; the runner repeats it in every event id.
+    /// Attempt number of this request, from 1; the runner repeats it in every event id.
     pub attempt: u32,
     /// Catalogue entry.
     pub model: CompactString,
-    /// Version that must answer; a runner of another version answers 409.
+    /// Required version; a runner with another version returns 409.
     pub version: CompactString,
     /// Text to complete.
     pub prompt: String,
-    /// Tokens of the answer so far: the first token asked for has this index.
+    /// Tokens already generated, which is the index of the first token requested.
     pub index: u32,
-    /// Text of the answer so far, to be continued and not repeated.
+    /// Text already generated, to be continued and not repeated.
     pub prefix: String,
-    /// Index at which the generation ends with `length`.
+    /// Token count of the whole generation at which it ends with `length`.
     pub max_tokens: u32,
-    /// Higher runs first.
+    /// Scheduling priority; higher values run first.
     pub priority: u8,
 }
 
@@ -45,23 +46,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Token {
-    /// Position in the whole answer, from 0.
+    /// Position in the whole generation, from 0.
     pub index: u32,
     /// Text of the token.
     pub text: CompactString,
 }
 
-/// Data of the event that says why a generation ended.
+/// Data of the event that states why a generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Finish {
-    /// Tokens of the whole answer.
+    /// Tokens of the whole generation.
     pub tokens: u32,
     /// Why it ended.
     pub reason: FinishReason,
 }
 
-/// Answer of `GET /load`; as old as the runner's reporting lag.
+/// Response of `GET /load`; its age is the runner's reporting lag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct LoadReport {
@@ -71,11 +72,11 @@
     pub running: u32,
     /// Generations or calls waiting.
     pub waiting: u32,
-    /// Generations or calls that run at once without slowing down.
+    /// Generations or calls that can run concurrently without slowing down.
     pub slots: u32,
-    /// Whether the runner takes new work.
+    /// Whether the runner is draining and rejects new requests.
     pub leaving: bool,
-    /// Prompt prefixes added to or dropped from the cache since the last report; may have gaps.
+    /// Latest changes of the prompt cache, oldest first; may have gaps.
     #[serde(default)]
     pub cache: Vec<CacheEvent>,
 }
@@ -84,41 +85,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct CacheEvent {
-    /// Number of this event at its runner; a jump is a gap.
+    /// Consecutive number of the event at its runner; a skipped number is a gap.
     pub sequence: u64,
-    /// Hash of the prefix, see [`prefix_bytes`].
+    /// XXH64 (seed 0) of the [`prefix_bytes`] of the prompt.
     pub prefix: u64,
-    /// Whether the prefix was added (or else dropped).
+    /// Whether the prefix was added; otherwise it was evicted.
     pub held: bool,
 }
 
-/// The part of a prompt whose XXH64 (seed 0) names its cached prefix.
+/// Returns the part of a prompt that identifies its cached prefix, by its XXH64 (seed 0).
 pub fn prefix_bytes(prompt: &str) -> &[u8] {
-    /// Bytes of a prompt that select the runner which caches it.
+    /// Length of the part in bytes; prompts that begin with the same part share a cache entry.
     const PREFIX_LEN: usize = 256;
     &prompt.as_bytes()[..prompt.len().min(PREFIX_LEN)]
 }
 
-/// An absolute, repeatable order to a runner.
+/// An order to a runner. It states the target state, so that sending it again has no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Order {
-    /// Fencing number of the lease under which the order is given.
+    /// Fencing token of the lease under which the order is sent.
     pub fence: u64,
-    /// What the runner must be.
+    /// Target state.
     pub kind: OrderKind,
 }
 
-/// What an order asks for.
+/// Target state of a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Load this version in place of the present one.
+    /// Replace the loaded version with this one.
     Load {
         /// Version to load.
         version: CompactString,
     },
-    /// Finish what runs and take nothing new.
+    /// Finish the running requests and reject new ones.
     Drain,
 }
--- a/crates/wire/src/table.rs
+++ b/crates/wire/src/table.rs
@@ -1,24 +1,25 @@
 //! The platform's transactional table service.
 //!
-//! - `POST /commit` with [`Commit`]: [`Committed`]; one commit counts as one write.
-//! - `POST /read` with [`Read`]: [`Rows`]; one read whatever the number of keys.
-//! - `POST /scan` with [`Scan`]: [`Rows`], all rows below a prefix in the order of their keys.
+//! - `POST /commit` with [`Commit`] returns [`Committed`]; a commit counts as one write.
+//! - `POST /read` with [`Read`] returns [`Rows`]; it counts as one read, whatever the number of keys.
+//! - `POST /scan` with [`Scan`] returns [`Rows`]: all rows with a key prefix, in key order.
 //!
-//! An answer may be lost after its effect. While the service is down it answers 503 or not at all.
+//! The response to a commit that was executed may be lost. While the service is down it returns 503
+//! or does not respond.
 
 use {
     compact_str::CompactString,
     serde::{Deserialize, Serialize},
 };
 
-/// Revision of a row: 0 when absent, then 1 and up with each write.
+/// Revision of a row: 0 if absent, 1 after its first write, then incremented by each write.
 pub type RowRevision = u64;
 
 /// A set of conditional writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Commit {
-    /// All or none when set; else each write stands for itself.
+    /// Whether the writes succeed or fail together; otherwise each one is independent.
     pub atomic: bool,
     /// Writes in order.
     pub writes: Vec<Write>,
@@ -30,34 +31,34 @@
 pub struct Write {
     /// Key of the row.
     pub key: CompactString,
-    /// Revision that the row must have; `None` writes whatever it is.
+    /// Revision that the row must have; `None` for any.
     pub expect: Option<RowRevision>,
-    /// New value; `None` deletes the row, whose revision goes back to 0.
+    /// New value; `None` deletes the row, which resets its revision to 0.
     pub value: Option<String>,
 }
 
-/// Answer to a [`Commit`].
+/// Response to a [`Commit`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Committed {
-    /// One result a write, in the same order.
+    /// Result of each write, in the order of the writes.
     pub results: Vec<Written>,
 }
 
-/// What came of one write.
+/// Result of one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Written {
-    /// Done; the row now has this revision.
+    /// The write was applied and the row now has this revision.
     Done(RowRevision),
-    /// The row had this revision and not the expected one.
+    /// The write was not applied because the row has this revision and not the expected one.
     Conflict(RowRevision),
-    /// Not done because another write of the same atomic commit conflicted.
+    /// The write was not applied because another one of the same atomic commit conflicted.
     Aborted,
 }
 
-/// Rows to read.
+/// Request to read rows by key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Read {
@@ -65,17 +66,17 @@
     pub keys: Vec<CompactString>,
 }
 
-/// Rows below a prefix to read.
+/// Request to read rows by key prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Scan {
     /// Prefix of the keys.
     pub prefix: CompactString,
-    /// Most rows to answer.
+    /// Maximum rows to return.
     pub limit: u32,
 }
 
-/// Rows that exist among those asked for.
+/// Those of the requested rows that exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Rows {
