--- a/crates/standins/src/cache.rs
+++ b/crates/standins/src/cache.rs
@@ -6,45 +6,45 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Prefixes held; the least recently used goes first.
+/// Maximum cached prefixes; the least recently used one is evicted.
 const CAPACITY: usize = 64;
-/// Newest events kept for reports. Several readers poll a runner, so that an event is reported
-/// more than once and told from others by its number.
-const REPORTED: usize = 32;
+/// Number of newest events in a report. Several readers poll a runner, so that each event is
+/// reported more than once; readers identify it by its sequence number.
+const MAX_REPORTED_EVENTS: usize = 32;
 
-/// Prefixes held, and what changed lately.
+/// Cached prefixes, least recently used first, and the latest changes.
 #[derive(Default)]
 pub(crate) struct Cache {
-    held: VecDeque<u64>,
+    prefixes: VecDeque<u64>,
     events: VecDeque<CacheEvent>,
     sequence: u64,
 }
 
 impl Cache {
-    /// Uses the prefix of `prompt`, which adds it if it isn't held.
+    /// Marks the prefix of `prompt` as used and adds it if it is not cached.
     pub(crate) fn touch(&mut self, prompt: &str) {
         let prefix = xxh64(prefix_bytes(prompt), 0);
-        match self.held.iter().position(|held| *held == prefix) {
-            Some(position) => drop(self.held.remove(position)),
-            None => self.publish(prefix, true),
+        match self.prefixes.iter().position(|cached| *cached == prefix) {
+            Some(position) => drop(self.prefixes.remove(position)),
+            None => self.record_event(prefix, true),
         }
-        self.held.push_back(prefix);
-        if self.held.len() > CAPACITY
-            && let Some(oldest) = self.held.pop_front()
+        self.prefixes.push_back(prefix);
+        if self.prefixes.len() > CAPACITY
+            && let Some(oldest) = self.prefixes.pop_front()
         {
-            self.publish(oldest, false);
+            self.record_event(oldest, false);
         }
     }
 
-    /// The newest events, oldest first.
+    /// Returns the newest events, oldest first.
     pub(crate) fn events(&self) -> Vec<CacheEvent> {
         self.events.iter().copied().collect()
     }
 
-    fn publish(&mut self, prefix: u64, held: bool) {
+    fn record_event(&mut self, prefix: u64, held: bool) {
         self.sequence += 1;
         self.events.push_back(CacheEvent { sequence: self.sequence, prefix, held });
-        if self.events.len() > REPORTED {
+        if self.events.len() > MAX_REPORTED_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that a stand-in can be told to have.
+//! Faults that can be injected into a stand-in.
 
 use {
     compact_str::CompactString,
@@ -7,148 +7,149 @@
 
 /// Body of `POST /admin/faults`, which replaces all faults; `{}` clears them.
 ///
-/// A stand-in ignores the faults that make no sense for it.
+/// A stand-in ignores the faults that do not apply to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// When all faults but `die`, `pause` and `freeze` hold.
+    /// Condition under which all faults except `die`, `pause` and `freeze` are active.
     pub when: When,
-    /// Ends at once: the program exits with 137, a stand-in in a test aborts its connections.
+    /// Terminates immediately: the program exits with 137, a stand-in inside a test aborts its
+    /// connections.
     pub die: bool,
-    /// Answers nothing and writes nothing until cleared, then goes on where it was.
+    /// Sends no responses and writes to no streams until cleared, then continues where it stopped.
     pub pause: bool,
-    /// Added to each call and each token, in milliseconds.
+    /// Delay before each call and each token, in milliseconds.
     pub slow: u64,
-    /// Refuses calls.
+    /// Rejects calls.
     pub reject: Option<Reject>,
-    /// Loses the answers of calls.
+    /// Sends no response to calls.
     pub lose: Option<Lose>,
     /// Closes the connection in the middle of a stream.
     pub cut: Option<After>,
-    /// Falls silent in the middle of a stream and keeps the connection open.
+    /// Stops writing in the middle of a stream and keeps the connection open.
     pub stall: Option<After>,
-    /// Ends a stream properly in HTTP's terms, but without `finish` and `[DONE]`.
+    /// Ends a stream with a valid end of the HTTP body, but without `finish` and `[DONE]`.
     pub end: Option<After>,
-    /// Leaves out the next token.
+    /// Omits the next token.
     pub skip: Option<After>,
     /// Writes the next token twice.
     pub repeat: Option<After>,
-    /// Writes bytes that are no event, once a stream.
+    /// Writes bytes that are not a valid event, once per stream.
     pub garbage: Option<After>,
-    /// Added to the attempt in event ids.
+    /// Offset added to the attempt number in event ids.
     pub shift: u32,
-    /// Lets tokens depend on the attempt and on the prefix that was sent.
+    /// Makes the tokens depend on the attempt number and on the prefix in the request.
     pub differs: bool,
-    /// Leaves every second cache event out of the load report.
+    /// Omits every second cache event from load reports.
     pub gaps: bool,
-    /// Takes orders whatever their fencing number.
+    /// Accepts orders with any fencing token.
     pub unfenced: bool,
-    /// Serves the instance list or load report as it was when this was switched on.
+    /// Serves the instance list or load reports as they were when this was set.
     pub freeze: bool,
 }
 
-/// Circumstances in which a version shows that it is bad; by default always.
+/// Condition under which faults are active, such as those of a bad version; by default always.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct When {
-    /// While this version is loaded; any when empty.
+    /// Active while this version is loaded; any version if empty.
     pub version: CompactString,
-    /// While at least so many generations or calls run.
+    /// Active while at least this many generations or calls are running.
     pub running: u32,
-    /// Once so many generations or calls have started.
+    /// Active once this many generations or calls have started.
     pub calls: u64,
 }
 
-/// A place in a stream.
+/// Position in a stream at which a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct After {
-    /// Tokens that this stream writes before the fault.
+    /// Tokens that the stream writes before the fault.
     pub tokens: u32,
-    /// Only the first stream that gets there; else every stream.
+    /// Whether only the first stream that reaches the position is affected; otherwise every stream.
     #[serde(default)]
     pub once: bool,
 }
 
-/// How calls are refused.
+/// Rejection of calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reject {
     /// HTTP status.
     pub status: u16,
-    /// Seconds for `Retry-After`.
+    /// Value of `Retry-After`, in seconds.
     #[serde(default)]
     pub retry: Option<u32>,
-    /// Beginning of the paths concerned; all when empty.
+    /// Path prefix of the affected calls; all if empty.
     #[serde(default)]
     pub path: CompactString,
-    /// Only the next call.
+    /// Whether only the next call is affected; otherwise every call.
     #[serde(default)]
     pub once: bool,
 }
 
-/// How answers are lost.
+/// Loss of responses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lose {
-    /// Whether the call has its effect first.
+    /// Whether the call is executed before its response is lost.
     pub effect: bool,
-    /// Keeps the connection open for ever; else closes it.
+    /// Whether the connection is kept open indefinitely; otherwise it is closed.
     #[serde(default)]
     pub hang: bool,
-    /// Beginning of the paths concerned; all when empty.
+    /// Path prefix of the affected calls; all if empty.
     #[serde(default)]
     pub path: CompactString,
-    /// Only the next call.
+    /// Whether only the next call is affected; otherwise every call.
     #[serde(default)]
     pub once: bool,
 }
 
 impl When {
-    /// Whether the circumstances are given.
-    pub fn holds(&self, circumstances: &Circumstances) -> bool {
-        (self.version.is_empty() || self.version == circumstances.version)
-            && self.running <= circumstances.running
-            && self.calls <= circumstances.calls
+    /// Returns whether the condition is met.
+    pub fn is_met(&self, activity: &Activity) -> bool {
+        (self.version.is_empty() || self.version == activity.version)
+            && self.running <= activity.running
+            && self.calls <= activity.calls
     }
 }
 
-/// What a stand-in is doing.
+/// Activity of a stand-in, on which the condition of its faults depends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Circumstances {
-    /// Version loaded.
+pub struct Activity {
+    /// Loaded version.
     pub version: CompactString,
-    /// Generations or calls that run.
+    /// Generations or calls that are running.
     pub running: u32,
     /// Generations or calls that have started.
     pub calls: u64,
 }
 
-/// A fault that may be for the first taker only.
-pub trait Once {
-    /// Whether the first taker clears the fault.
-    fn once(&self) -> bool;
+/// A fault that may apply to a single call or stream.
+pub trait OneShot {
+    /// Whether the fault is cleared after it was injected once.
+    fn is_one_shot(&self) -> bool;
 }
 
-impl Once for After {
-    fn once(&self) -> bool {
+impl OneShot for After {
+    fn is_one_shot(&self) -> bool {
         self.once
     }
 }
 
-impl Once for Reject {
-    fn once(&self) -> bool {
+impl OneShot for Reject {
+    fn is_one_shot(&self) -> bool {
         self.once
     }
 }
 
-impl Once for Lose {
-    fn once(&self) -> bool {
+impl OneShot for Lose {
+    fn is_one_shot(&self) -> bool {
         self.once
     }
 }
--- a/crates/standins/src/feed_store.rs
+++ b/crates/standins/src/feed_store.rs
@@ -1,13 +1,14 @@
-//! A store of rows with versions and a feed of their changes, in memory.
+//! An in-memory store of versioned rows with a change feed.
 //!
-//! - `POST /api/rows-tx`: all writes or none, under conditions on versions.
-//! - `GET /api/rows-get?table=..`: rows by key, one page of them.
-//! - `GET /api/rows-feed?table=..&after_revision=..&wait_ms=..`: rows changed since, as soon as there is one.
+//! - `POST /api/rows-tx`: an atomic transaction, conditional on row versions.
+//! - `GET /api/rows-get?table=..&from=..`: a page of rows in key order.
+//! - `GET /api/rows-feed?table=..&after_revision=..&wait_ms=..`: long-polls for rows changed after a
+//!   version.
 
 use {
     crate::{
-        server::{Handle, guarded, json, parsed},
-        switch::Switch,
+        fault_injector::FaultInjector,
+        server::{Handle, json, parse_json, with_faults},
     },
     bytes::Bytes,
     compact_str::CompactString,
@@ -31,27 +32,27 @@
     },
 };
 
-/// Most rows of a page.
-const PAGE: usize = 500;
+/// Maximum rows per page.
+const MAX_PAGE_ROWS: usize = 500;
 
-/// A row, in requests and in answers.
+/// A row in requests and responses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Row {
-    /// Its table.
+    /// Table.
     pub table: CompactString,
-    /// Its part of the table; tests use one.
+    /// Partition of the table; tests use a single one.
     #[serde(default)]
     pub part: CompactString,
-    /// Its key.
+    /// Key.
     pub key: CompactString,
     /// Base64.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value: Option<String>,
-    /// Its version, or the one that it must have.
+    /// Version of the row, or in a condition the expected version, 0 for an absent row.
     #[serde(default)]
     pub ver: u64,
-    /// It was removed.
+    /// Whether the row was removed.
     #[serde(default)]
     pub tombstone: bool,
 }
@@ -74,10 +75,10 @@
     has_more: bool,
 }
 
-/// The stand-in. Clones share it.
+/// The stand-in. Clones share their state.
 #[derive(Clone, Default)]
 pub struct FeedStore {
-    faults: Arc<Switch>,
+    faults: Arc<FaultInjector>,
     state: Arc<Mutex<State>>,
     version: watch::Sender<u64>,
 }
@@ -100,7 +101,7 @@
         Handle::start(listen, router, self.faults.clone())
     }
 
-    /// Writes a row as its operator or a runner would; no value removes it.
+    /// Writes a row without a condition; `None` removes it.
     pub fn put(&self, table: &str, key: &str, value: Option<String>) {
         let row = Row {
             table: table.into(),
@@ -114,7 +115,7 @@
         self.version.send_replace(version);
     }
 
-    /// A row's value.
+    /// Returns the value of a row.
     pub fn value(&self, table: &str, key: &str) -> Option<String> {
         self.lock().rows.get(&(table.into(), key.into()))?.value.clone()
     }
@@ -139,16 +140,16 @@
         self.version
     }
 
-    fn holds(&self, row: &Row) -> bool {
-        let held = self.rows.get(&(row.table.clone(), row.key.clone()));
-        held.map_or(0, |r| r.ver) == row.ver
+    fn is_current(&self, row: &Row) -> bool {
+        let current = self.rows.get(&(row.table.clone(), row.key.clone()));
+        current.map_or(0, |r| r.ver) == row.ver
     }
 
-    fn answer(&self, rows: Vec<Row>, has_more: bool) -> Rows {
+    fn response(&self, rows: Vec<Row>, has_more: bool) -> Rows {
         Rows { rows, ver: self.version, now_ms: 0, has_more }
     }
 
-    fn since(&self, table: &str, after: u64) -> Vec<Row> {
+    fn changed_since(&self, table: &str, after: u64) -> Vec<Row> {
         let changed = self.log.iter().filter(|r| r.table == table && r.ver > after);
         changed.cloned().collect()
     }
@@ -156,20 +157,20 @@
 
 async fn write(Extension(store): Extension<FeedStore>, body: Bytes) -> Response {
     let execute = || {
-        parsed(&body, |transaction: Transaction| {
+        parse_json(&body, |transaction: Transaction| {
             let Transaction { expected_revision, puts, remove } = transaction;
             let mut state = store.lock();
-            if !expected_revision.iter().all(|row| state.holds(row)) {
+            if !expected_revision.iter().all(|row| state.is_current(row)) {
                 return StatusCode::PRECONDITION_FAILED.into_response();
             }
             let removed = remove.into_iter().map(|row| Row { tombstone: true, ..row });
             let version = state.put(puts.into_iter().chain(removed).collect());
             drop(state);
             store.version.send_replace(version);
-            json(&store.lock().answer(Vec::new(), false))
+            json(&store.lock().response(Vec::new(), false))
         })
     };
-    guarded(&store.faults, "/api/rows-tx", execute).await
+    with_faults(&store.faults, "/api/rows-tx", execute).await
 }
 
 async fn read(Extension(store): Extension<FeedStore>, uri: Uri) -> Response {
@@ -178,11 +179,11 @@
         let state = store.lock();
         let (table, from) = (text(&query, "table"), text(&query, "from"));
         let rows = state.rows.values().filter(|r| r.table == table && r.key.as_str() >= from);
-        let rows: Vec<Row> = rows.take(PAGE + 1).cloned().collect();
-        let more = rows.len() > PAGE;
-        json(&state.answer(rows.into_iter().take(PAGE).collect(), more))
+        let rows: Vec<Row> = rows.take(MAX_PAGE_ROWS + 1).cloned().collect();
+        let more = rows.len() > MAX_PAGE_ROWS;
+        json(&state.response(rows.into_iter().take(MAX_PAGE_ROWS).collect(), more))
     };
-    guarded(&store.faults, "/api/rows-get", execute).await
+    with_faults(&store.faults, "/api/rows-get", execute).await
 }
 
 async fn feed(Extension(store): Extension<FeedStore>, uri: Uri) -> Response {
@@ -191,17 +192,17 @@
     let (table, after) = (text(&query, "table"), number("after_revision"));
     let mut version = store.version.subscribe();
     let wait = Duration::from_millis(number("wait_ms"));
-    // A feed that is refused at its start isn't kept waiting.
+    // A request that will be rejected must not wait for a change first.
     if store.faults.active().reject.is_none() {
-        let changed = version.wait_for(|_| !store.lock().since(table, after).is_empty());
-        // Without a change the answer is empty.
+        let changed = version.wait_for(|_| !store.lock().changed_since(table, after).is_empty());
+        // If nothing changes within `wait`, the response has no rows.
         _ = timeout(wait, changed).await;
     }
     let execute = || {
         let state = store.lock();
-        json(&state.answer(state.since(table, after), false))
+        json(&state.response(state.changed_since(table, after), false))
     };
-    guarded(&store.faults, "/api/rows-feed", execute).await
+    with_faults(&store.faults, "/api/rows-feed", execute).await
 }
 
 fn query(uri: &Uri) -> HashMap<String, String> {
--- a/crates/standins/src/lagged.rs
+++ b/crates/standins/src/lagged.rs
@@ -1,52 +1,53 @@
-//! A value that readers see as it was some time ago.
+//! A value that readers see with a delay.
 
 use {
     std::{collections::VecDeque, time::Duration},
     tokio::time::Instant,
 };
 
-/// The present, and what readers are shown instead.
+/// The current time and the time visible to readers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Clock {
-    /// The present.
+    /// Current time.
     pub now: Instant,
-    /// The present as readers are shown it: earlier while frozen.
-    pub shown: Instant,
+    /// Time visible to readers; earlier than `now` while the value is frozen.
+    pub visible: Instant,
 }
 
-/// A value and its recent past.
+/// A value and those of its earlier states that readers may still see.
 pub struct Lagged<T> {
     lag: Duration,
-    past: VecDeque<(Instant, T)>,
+    /// States, oldest first, with the time at which each was set.
+    history: VecDeque<(Instant, T)>,
 }
 
 impl<T> Lagged<T> {
-    /// A value that readers see `lag` late.
+    /// Creates a value that readers see with a delay of `lag`.
     pub fn new(lag: Duration, now: Instant, value: T) -> Lagged<T> {
-        Lagged { lag, past: VecDeque::from([(now, value)]) }
+        Lagged { lag, history: VecDeque::from([(now, value)]) }
     }
 
-    /// Gives the value a new state.
+    /// Sets a new state.
     pub fn set(&mut self, clock: Clock, value: T) {
-        self.past.push_back((clock.now, value));
-        self.forget(clock.shown);
+        self.history.push_back((clock.now, value));
+        self.prune(clock.visible);
     }
 
-    /// The newest state.
+    /// Returns the newest state.
     pub fn newest(&self) -> &T {
-        &self.past.back().expect("a state is always kept").1
+        &self.history.back().expect("a state is always kept").1
     }
 
-    /// The state as it was `lag` before the time shown, or the first one.
-    pub fn seen(&mut self, clock: Clock) -> &T {
-        self.forget(clock.shown);
-        &self.past.front().expect("a state is always kept").1
+    /// Returns the state of `lag` before the visible time, or the first one.
+    pub fn visible(&mut self, clock: Clock) -> &T {
+        self.prune(clock.visible);
+        &self.history.front().expect("a state is always kept").1
     }
 
-    /// Drops the states that were replaced `lag` before `shown`.
-    fn forget(&mut self, shown: Instant) {
-        while self.past.get(1).is_some_and(|(since, _)| *since + self.lag <= shown) {
-            self.past.pop_front();
+    /// Drops the states that were replaced at least `lag` before `visible`.
+    fn prune(&mut self, visible: Instant) {
+        while self.history.get(1).is_some_and(|(since, _)| *since + self.lag <= visible) {
+            self.history.pop_front();
         }
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for what surrounds bilberryfront: runners, plain services and the platform.
+//! Test doubles of the systems around bilberryfront: runners, plain services and the platform.
 //!
-//! Each is a small HTTP server with faults to switch on (`POST /admin/faults`, see
-//! [`faults::Faults`]), to be started in a test ([`server::Handle`]) or as a program ([`main`]).
-//! They share the product's wire types and none of its code.
+//! Each is a small HTTP server into which faults can be injected (`POST /admin/faults`, see
+//! [`faults::Faults`]). It runs inside a test ([`server::Handle`]) or as a program ([`main`]). The
+//! stand-ins share the product's wire types and no other code.
 
 mod cache;
+pub mod fault_injector;
 pub mod faults;
 pub mod feed_store;
 pub mod lagged;
@@ -18,7 +19,6 @@
 pub mod service;
 pub mod slots;
 mod stream;
-pub mod switch;
 pub mod table;
 pub mod text;
 
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -1,10 +1,10 @@
-//! The platform's list of instances, which lags.
+//! The platform's instance list, which readers see with a delay.
 
 use {
     crate::{
+        fault_injector::FaultInjector,
         lagged::Lagged,
-        server::{Handle, guarded, json, parsed},
-        switch::Switch,
+        server::{Handle, json, parse_json, with_faults},
     },
     bilberryfront_wire::instance::{Instance, InstanceList, InstanceState},
     bytes::Bytes,
@@ -29,8 +29,8 @@
 
 /// The stand-in.
 pub struct List {
-    faults: Arc<Switch>,
-    present: Mutex<Lagged<InstanceList>>,
+    faults: Arc<FaultInjector>,
+    instances: Mutex<Lagged<InstanceList>>,
 }
 
 /// A change of the list.
@@ -41,12 +41,12 @@
 }
 
 impl List {
-    /// Starts an empty list whose readers see it `lag` late.
+    /// Starts an empty list that readers see with a delay of `lag`.
     pub async fn start(listen: SocketAddr, lag: Duration) -> io::Result<Handle> {
-        let faults = Arc::new(Switch::default());
+        let faults = Arc::new(FaultInjector::default());
         let empty = InstanceList { revision: 0, instances: Vec::new() };
-        let present = Mutex::new(Lagged::new(lag, Instant::now(), empty));
-        let list = Arc::new(List { faults: Arc::clone(&faults), present });
+        let instances = Mutex::new(Lagged::new(lag, Instant::now(), empty));
+        let list = Arc::new(List { faults: Arc::clone(&faults), instances });
         let router = Router::new()
             .route("/instances", get(show))
             .route("/instances/{name}", post(upsert).delete(remove))
@@ -55,29 +55,29 @@
         Handle::start(listen, router, faults)
     }
 
-    fn seen(&self) -> InstanceList {
-        self.lock().seen(self.faults.clock()).clone()
+    fn visible(&self) -> InstanceList {
+        self.lock().visible(self.faults.clock()).clone()
     }
 
     fn change(&self, name: &str, change: Change) -> Response {
-        let mut present = self.lock();
-        let mut list = present.newest().clone();
-        let Some(instances) = changed(list.instances, name, change) else {
+        let mut lagged = self.lock();
+        let mut list = lagged.newest().clone();
+        let Some(instances) = apply(list.instances, name, change) else {
             return StatusCode::NOT_FOUND.into_response();
         };
         list.instances = instances;
         list.revision += 1;
-        present.set(self.faults.clock(), list);
+        lagged.set(self.faults.clock(), list);
         StatusCode::NO_CONTENT.into_response()
     }
 
     fn lock(&self) -> MutexGuard<'_, Lagged<InstanceList>> {
-        self.present.lock().expect("no holder of this lock panics")
+        self.instances.lock().expect("no holder of this lock panics")
     }
 }
 
-/// The instances after a change; `None` when it concerns none.
-fn changed(mut instances: Vec<Instance>, name: &str, change: Change) -> Option<Vec<Instance>> {
+/// Returns the instances after a change; `None` if there is no instance of this name to change.
+fn apply(mut instances: Vec<Instance>, name: &str, change: Change) -> Option<Vec<Instance>> {
     let position = instances.iter().position(|instance| instance.name == name);
     match (change, position) {
         (Change::Upsert(instance), Some(at)) => instances[at] = instance,
@@ -90,7 +90,7 @@
 }
 
 async fn show(Extension(list): Extension<Arc<List>>) -> Response {
-    guarded(&list.faults, "/instances", || json(&list.seen())).await
+    with_faults(&list.faults, "/instances", || json(&list.visible())).await
 }
 
 async fn upsert(
@@ -98,9 +98,10 @@
     PathParams(name): PathParams<String>,
     body: Bytes,
 ) -> Response {
-    parsed(&body, |instance: Instance| match instance.name == name {
+    parse_json(&body, |instance: Instance| match instance.name == name {
         true => list.change(&name, Change::Upsert(instance)),
-        false => (StatusCode::BAD_REQUEST, "the names differ").into_response(),
+        false => (StatusCode::BAD_REQUEST, "the instance's name differs from the name in the path")
+            .into_response(),
     })
 }
 
--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -1,21 +1,22 @@
-//! A bounded log of what a stand-in was asked and what it did.
+//! A bounded log of the calls of a stand-in and their results.
 
 use std::{
     collections::VecDeque,
     sync::{Mutex, MutexGuard},
 };
 
-/// Entries kept; the oldest go first.
+/// Maximum entries; the oldest is removed for a new one.
 const CAPACITY: usize = 65_536;
 
-/// A log whose entries can be completed later.
+/// A log whose entries can be updated later.
 pub struct Log<T>(Mutex<Entries<T>>);
 
-/// Names an entry of a [`Log`].
+/// Identifier of an entry of a [`Log`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryId(u64);
 
 struct Entries<T> {
+    /// Identifier of the oldest entry in `kept`.
     first: u64,
     kept: VecDeque<T>,
 }
@@ -27,7 +28,7 @@
 }
 
 impl<T: Clone> Log<T> {
-    /// Appends an entry.
+    /// Appends an entry and returns its identifier.
     pub fn push(&self, entry: T) -> EntryId {
         let mut entries = self.lock();
         if entries.kept.len() == CAPACITY {
@@ -38,7 +39,7 @@
         EntryId(entries.first + entries.kept.len() as u64 - 1)
     }
 
-    /// Changes an entry if it is still kept.
+    /// Updates an entry, if it has not been removed.
     pub fn update(&self, id: EntryId, change: impl FnOnce(&mut T)) {
         let mut entries = self.lock();
         let position = id.0.checked_sub(entries.first);
@@ -47,7 +48,7 @@
         }
     }
 
-    /// All entries kept, oldest first.
+    /// Returns the entries, oldest first.
     pub fn entries(&self) -> Vec<T> {
         self.lock().kept.iter().cloned().collect()
     }
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a program: `standin KIND --listen IP:PORT ...`.
+//! Command-line program that runs a stand-in: `standin KIND --listen IP:PORT ...`.
 
 use {
     crate::{
@@ -19,16 +19,16 @@
     tokio::signal::unix::{SignalKind, signal},
 };
 
-/// Exit code of a process that was killed.
-const KILLED: u8 = 137;
+/// Exit code after the fault `die`, as of a process killed by SIGKILL (128 + 9).
+const KILLED_EXIT_CODE: u8 = 137;
 
-/// Runs the stand-in that the command line names, until it is told to end or to die.
+/// Runs the stand-in given on the command line until SIGTERM, Ctrl-C or the fault `die`.
 pub fn main() -> ExitCode {
     let matches = command().get_matches();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime needs only the system's usual means");
+        .expect("the system provides timers and I/O polling");
     match runtime.block_on(run(&matches)) {
         Ok(code) => code,
         Err(error) => {
@@ -44,14 +44,14 @@
     println!("listening on {}", handle.url());
     io::stdout().flush()?;
     tokio::select! {
-        () = handle.faults.dead() => Ok(ExitCode::from(KILLED)),
+        () = handle.faults.wait_until_killed() => Ok(ExitCode::from(KILLED_EXIT_CODE)),
         _ = terminate.recv() => Ok(ExitCode::SUCCESS),
         _ = tokio::signal::ctrl_c() => Ok(ExitCode::SUCCESS),
     }
 }
 
 async fn start(matches: &ArgMatches) -> io::Result<Handle> {
-    let (kind, matches) = matches.subcommand().expect("clap requires a kind");
+    let (kind, matches) = matches.subcommand().expect("clap requires a subcommand");
     let listen = *matches.get_one::<SocketAddr>("listen").expect("it has a default");
     match kind {
         "runner" => Runner::start(listen, runner(matches)).await,
@@ -104,9 +104,9 @@
         .default_value("127.0.0.1:0")
         .value_parser(value_parser!(SocketAddr))
         .global(true)
-        .help("Address to listen on; port 0 for any");
+        .help("Address to listen on; port 0 selects a free one");
     Command::new("standin")
-        .about("Stands in for a runner or a service of the platform, with faults to switch on")
+        .about("Test double of a runner or a platform service, with fault injection")
         .subcommand_required(true)
         .arg(listen)
         .subcommand(runner_command())
@@ -121,16 +121,16 @@
     let fenced = Arg::new("fenced")
         .long("fenced")
         .action(ArgAction::SetTrue)
-        .help("Refuse orders with an old fencing number");
+        .help("Reject orders with an outdated fencing token");
     let answer = Arg::new("answer-tokens")
         .long("answer-tokens")
         .value_name("N")
         .value_parser(value_parser!(u32))
-        .help("Tokens of every answer [default: depends on the prompt]");
+        .help("Tokens of every answer [default: derived from the prompt]");
     Command::new("runner")
         .about("A model engine")
         .args(instance_args())
-        .arg(millis_arg("token-ms", "20", "Time a token takes, 0 for as fast as possible"))
+        .arg(millis_arg("token-ms", "20", "Time per token; 0 generates as fast as possible"))
         .arg(fenced)
         .arg(answer)
 }
@@ -149,18 +149,18 @@
             .long("slots")
             .default_value("8")
             .value_parser(value_parser!(u32))
-            .help("Generations or calls that run at once"),
+            .help("Maximum concurrent generations; for a service, the number it reports"),
         lag_arg(),
         Arg::new("list")
             .long("list")
             .value_name("URL")
             .value_parser(value_parser!(CompactString))
-            .help("Instance list to register at"),
+            .help("Instance list in which to register"),
     ]
 }
 
 fn lag_arg() -> Arg {
-    millis_arg("lag-ms", "0", "Age of what is reported")
+    millis_arg("lag-ms", "0", "Delay of the reported state")
 }
 
 fn millis_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
--- a/crates/standins/src/register.rs
+++ b/crates/standins/src/register.rs
@@ -1,4 +1,4 @@
-//! Entering an instance in the instance list.
+//! Registration in the instance list.
 
 use {
     bilberryfront_wire::instance::Instance,
@@ -6,7 +6,7 @@
     volo_http::{body::Body, client::Client},
 };
 
-/// Registers an instance at the instance list at `list`.
+/// Registers an instance in the list whose base URL is `list`.
 pub(crate) async fn register(list: &str, instance: &Instance) -> io::Result<()> {
     let url = format!("{list}/instances/{}", instance.name);
     let body = serde_json::to_vec(instance)?;
@@ -15,6 +15,10 @@
     let response = request.body(Body::from(body)).send::<Body>().await.map_err(io::Error::other)?;
     match response.status().is_success() {
         true => Ok(()),
-        false => Err(io::Error::other(format!("the instance list answers {}", response.status()))),
+        false => Err(io::Error::other(format!(
+            "the instance list at {list} returned {} for instance {}",
+            response.status(),
+            instance.name
+        ))),
     }
 }
--- a/crates/standins/src/rows.rs
+++ b/crates/standins/src/rows.rs
@@ -1,5 +1,5 @@
-//! The rows of a table service and its conditional writes, without a face: the stand-in serves them over
-//! HTTP, and tests put them behind fakes of their own.
+//! In-memory rows with conditional writes, as the platform's table service has them. The stand-in
+//! serves them over HTTP; tests use them in their own fakes.
 
 use {
     bilberryfront_wire::table::{
@@ -16,7 +16,7 @@
 }
 
 impl RowStore {
-    /// Executes a commit.
+    /// Executes a commit: all writes or none if it is atomic, otherwise each on its own.
     pub fn commit(&mut self, commit: &Commit) -> Committed {
         if commit.atomic
             && let Some(results) = self.conflicts(&commit.writes)
@@ -31,45 +31,45 @@
         Rows { rows: read.keys.iter().filter_map(|key| self.rows.get(key)).cloned().collect() }
     }
 
-    /// Reads rows below a prefix, in the order of their keys.
+    /// Reads the rows whose keys have a prefix, in key order.
     pub fn scan(&self, scan: &Scan) -> Rows {
-        let below = self.rows.range(scan.prefix.clone()..);
-        let below = below.take_while(|(key, _)| key.starts_with(scan.prefix.as_str()));
-        Rows { rows: below.take(scan.limit as usize).map(|(_, row)| row.clone()).collect() }
+        let from_prefix = self.rows.range(scan.prefix.clone()..);
+        let matching = from_prefix.take_while(|(key, _)| key.starts_with(scan.prefix.as_str()));
+        Rows { rows: matching.take(scan.limit as usize).map(|(_, row)| row.clone()).collect() }
     }
 
-    /// One row.
+    /// Returns a row.
     pub fn get(&self, key: &str) -> Option<&Row> {
         self.rows.get(key)
     }
 
-    /// Puts a row there as it is, whatever was there.
+    /// Stores a row with its revision as it is, without a condition.
     pub fn put(&mut self, row: Row) {
         self.rows.insert(row.key.clone(), row);
     }
 
-    /// How many rows exist.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether no row exists.
+    /// Returns whether there are no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The results of an atomic commit that isn't done; `None` when nothing conflicts.
+    /// Returns the results of an atomic commit that is not applied; `None` if no write conflicts.
     fn conflicts(&self, writes: &[Write]) -> Option<Vec<Written>> {
-        let found: Vec<_> = writes.iter().map(|write| self.conflict(write)).collect();
-        let any = found.iter().any(Option::is_some);
-        let results = found.into_iter().map(|conflict| conflict.unwrap_or(Written::Aborted));
+        let conflicts: Vec<_> = writes.iter().map(|write| self.conflict(write)).collect();
+        let any = conflicts.iter().any(Option::is_some);
+        let results = conflicts.into_iter().map(|conflict| conflict.unwrap_or(Written::Aborted));
         any.then(|| results.collect())
     }
 
     fn conflict(&self, write: &Write) -> Option<Written> {
-        let present = self.revision(&write.key);
-        let expected = write.expect.unwrap_or(present);
-        (expected != present).then_some(Written::Conflict(present))
+        let current = self.revision(&write.key);
+        let expected = write.expect.unwrap_or(current);
+        (expected != current).then_some(Written::Conflict(current))
     }
 
     fn write(&mut self, write: &Write) -> Written {
--- a/crates/standins/src/runner.rs
+++ b/crates/standins/src/runner.rs
@@ -1,4 +1,4 @@
-//! A model engine.
+//! Stand-in for a model engine.
 
 mod calls;
 
@@ -7,13 +7,13 @@
 use {
     crate::{
         cache::Cache,
+        fault_injector::FaultInjector,
         lagged::Lagged,
         log::Log,
         register::register,
-        server::{Handle, guarded, json, parsed},
+        server::{Handle, json, parse_json, with_faults},
         slots::Slots,
         stream::Generation,
-        switch::Switch,
         text::{Answer, Sampling},
     },
     bilberryfront_wire::{
@@ -42,28 +42,28 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// What a runner is.
+/// Configuration of a runner.
 #[derive(Clone, Debug)]
 pub struct RunnerConfig {
     /// Name in the instance list.
     pub name: CompactString,
-    /// Catalogue entry it serves.
+    /// Catalogue entry that it serves.
     pub entry: CompactString,
-    /// Version it starts with.
+    /// Version that is loaded at the start.
     pub version: CompactString,
     /// Failure domain.
     pub domain: CompactString,
-    /// Time a token takes; zero for as fast as possible.
+    /// Time per token; zero generates as fast as possible.
     pub pace: Duration,
-    /// Generations that run at once.
+    /// Maximum concurrent generations.
     pub slots: u32,
     /// Age of load reports.
     pub lag: Duration,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub fenced: bool,
-    /// Tokens of every answer; a natural number for the prompt when absent.
+    /// Tokens of every answer; derived from the prompt if absent.
     pub answer: Option<u32>,
-    /// Base URL of the instance list to register at.
+    /// Base URL of the instance list in which it registers.
     pub list: Option<CompactString>,
 }
 
@@ -87,7 +87,7 @@
 /// The stand-in.
 pub struct Runner {
     pub(crate) config: RunnerConfig,
-    pub(crate) faults: Arc<Switch>,
+    pub(crate) faults: Arc<FaultInjector>,
     pub(crate) slots: Arc<Slots>,
     pub(crate) calls: Log<Call>,
     orders: Log<Ordered>,
@@ -103,7 +103,7 @@
 }
 
 impl Runner {
-    /// Starts a runner, registered at the instance list if it has one.
+    /// Starts a runner and registers it in the instance list, if one is configured.
     pub async fn start(listen: SocketAddr, config: RunnerConfig) -> io::Result<Handle> {
         let runner = Arc::new(Runner::new(config));
         let faults = Arc::clone(&runner.faults);
@@ -137,8 +137,8 @@
             cache: Cache::default(),
             reports: Lagged::new(config.lag, Instant::now(), first),
         };
-        let faults = Arc::new(Switch::default());
-        faults.update(|circumstances| circumstances.version = config.version.clone());
+        let faults = Arc::new(FaultInjector::default());
+        faults.update_activity(|activity| activity.version = config.version.clone());
         Runner {
             config,
             faults,
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Takes the present state into the load reports.
-    pub(crate) fn record(&self) {
+    /// Records the current state for the load reports.
+    pub(crate) fn record_load(&self) {
         let occupancy = self.slots.occupancy();
         let mut state = self.lock();
         let report = LoadReport {
@@ -175,9 +175,9 @@
             leaving: state.leaving,
             cache: state.cache.events(),
         };
-        self.faults.update(|circumstances| {
-            circumstances.version = report.version.clone();
-            circumstances.running = report.running;
+        self.faults.update_activity(|activity| {
+            activity.version = report.version.clone();
+            activity.running = report.running;
         });
         state.reports.set(self.faults.clock(), report);
     }
@@ -194,12 +194,12 @@
             written: 0,
             ended: None,
         };
-        if let Some(refusal) = self.refusal(&request) {
+        if let Some(rejection) = self.rejection(&request) {
             call.ended = Some(Ended::Refused);
             self.calls.push(call);
-            return refusal;
+            return rejection;
         }
-        self.faults.update(|circumstances| circumstances.calls += 1);
+        self.faults.update_activity(|activity| activity.calls += 1);
         self.lock().cache.touch(&request.prompt);
         let entry = self.calls.push(call);
         let generation = Generation::new(Arc::clone(self), request, answer, entry);
@@ -217,7 +217,8 @@
         }
     }
 
-    fn refusal(&self, request: &Generate) -> Option<Response> {
+    /// Returns the response that rejects a request; `None` if it is accepted.
+    fn rejection(&self, request: &Generate) -> Option<Response> {
         let state = self.lock();
         if state.leaving {
             let retry = [(header::RETRY_AFTER, "1")];
@@ -228,25 +229,26 @@
 
     fn load(&self) -> LoadReport {
         let gaps = self.faults.active().gaps;
-        let mut report = self.lock().reports.seen(self.faults.clock()).clone();
+        let mut report = self.lock().reports.visible(self.faults.clock()).clone();
         report.cache.retain(|event| !gaps || event.sequence % 2 == 0);
         report
     }
 
     fn order(&self, order: Order) -> Response {
-        let checked = self.config.fenced && !self.faults.active().unfenced;
-        let done = self.carry_out(&order, checked);
+        let check_fence = self.config.fenced && !self.faults.active().unfenced;
+        let done = self.apply_order(&order, check_fence);
         self.orders.push(Ordered { order, done });
-        self.record();
+        self.record_load();
         match done {
             true => StatusCode::NO_CONTENT.into_response(),
             false => StatusCode::CONFLICT.into_response(),
         }
     }
 
-    fn carry_out(&self, order: &Order, checked: bool) -> bool {
+    /// Applies an order; false if its fencing token is checked and outdated.
+    fn apply_order(&self, order: &Order, check_fence: bool) -> bool {
         let mut state = self.lock();
-        if checked && order.fence < state.fence {
+        if check_fence && order.fence < state.fence {
             return false;
         }
         state.fence = order.fence;
@@ -263,15 +265,18 @@
 }
 
 async fn generate(Extension(runner): Extension<Arc<Runner>>, body: Bytes) -> Response {
-    guarded(&runner.faults, "/generate", || parsed(&body, |request| runner.generate(request))).await
+    with_faults(&runner.faults, "/generate", || {
+        parse_json(&body, |request| runner.generate(request))
+    })
+    .await
 }
 
 async fn load(Extension(runner): Extension<Arc<Runner>>) -> Response {
-    guarded(&runner.faults, "/load", || json(&runner.load())).await
+    with_faults(&runner.faults, "/load", || json(&runner.load())).await
 }
 
 async fn order(Extension(runner): Extension<Arc<Runner>>, body: Bytes) -> Response {
-    guarded(&runner.faults, "/orders", || parsed(&body, |order| runner.order(order))).await
+    with_faults(&runner.faults, "/orders", || parse_json(&body, |order| runner.order(order))).await
 }
 
 async fn log(Extension(runner): Extension<Arc<Runner>>) -> Response {
--- a/crates/standins/src/runner/calls.rs
+++ b/crates/standins/src/runner/calls.rs
@@ -1,4 +1,4 @@
-//! What a runner was asked, and what it did.
+//! Log of the generations and orders of a runner.
 
 use {
     bilberryfront_wire::runner::Order,
@@ -6,19 +6,19 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Answer of `GET /admin/log`.
+/// Response of `GET /admin/log`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct RunnerLog {
-    /// Generations asked for, oldest first.
+    /// Requested generations, oldest first.
     pub calls: Vec<Call>,
     /// Orders received, oldest first.
     pub orders: Vec<Ordered>,
-    /// Generations among them that were cancelled.
+    /// Number of generations that were cancelled.
     pub cancelled: usize,
 }
 
-/// A generation that was asked for.
+/// A requested generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Call {
@@ -26,15 +26,15 @@
     pub request: CompactString,
     /// Attempt number.
     pub attempt: u32,
-    /// Version asked for.
+    /// Requested version.
     pub version: CompactString,
-    /// Index of the first token asked for.
+    /// Index of the first requested token.
     pub index: u32,
-    /// Whether the prefix was what this runner would have written up to `index`.
+    /// Whether the prefix in the request is the text that this runner generates up to `index`.
     pub coherent: bool,
     /// Tokens written.
     pub written: u32,
-    /// How it ended; `None` while it runs.
+    /// How it ended; `None` while it is running.
     pub ended: Option<Ended>,
 }
 
@@ -43,24 +43,24 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ended {
-    /// Whole.
+    /// Completed.
     Finished,
-    /// Not started: another version, or leaving.
+    /// Rejected: another version is loaded, or the runner is draining.
     Refused,
-    /// Broken off by the fault `cut`.
+    /// Connection closed by the fault `cut`.
     Cut,
     /// Ended without its last events by the fault `end`.
     Early,
-    /// The connection was closed by the other side.
+    /// Connection closed by the client.
     Cancelled,
 }
 
-/// An order that was received.
+/// A received order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ordered {
     /// The order.
     pub order: Order,
-    /// Whether it was carried out, or else refused for its fencing number.
+    /// Whether it was executed; otherwise it was rejected because of its fencing token.
     pub done: bool,
 }
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -1,9 +1,9 @@
-//! Starting and stopping a stand-in, and what all of them answer alike.
+//! HTTP server of a stand-in, and the handling of requests that all stand-ins share.
 
 use {
     crate::{
+        fault_injector::FaultInjector,
         faults::{Faults, Reject},
-        switch::Switch,
     },
     bytes::Bytes,
     futures_util::stream,
@@ -31,50 +31,55 @@
     },
 };
 
-/// Threads that serve one stand-in.
-const THREADS: usize = 2;
+/// Worker threads per stand-in.
+const WORKER_THREADS: usize = 2;
 
 /// A running stand-in; dropping it stops it.
 pub struct Handle {
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
     /// Its faults.
-    pub faults: Arc<Switch>,
-    cell: RuntimeCell,
+    pub faults: Arc<FaultInjector>,
+    runtime: SharedRuntime,
 }
 
-/// The runtime that serves a stand-in: ending it aborts every connection at once, as the death
-/// of a process does.
-type RuntimeCell = Arc<Mutex<Option<Runtime>>>;
+/// The runtime that serves a stand-in; `None` once stopped. Its shutdown aborts all connections, as
+/// the end of a process does.
+type SharedRuntime = Arc<Mutex<Option<Runtime>>>;
 
 impl Handle {
-    /// Serves `router` at `listen` (port 0 for any).
-    pub fn start(listen: SocketAddr, router: Router, faults: Arc<Switch>) -> io::Result<Handle> {
+    /// Starts serving `router` on `listen`; port 0 selects a free one.
+    pub fn start(
+        listen: SocketAddr,
+        router: Router,
+        faults: Arc<FaultInjector>,
+    ) -> io::Result<Handle> {
         let listener = std::net::TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
-        let runtime = Builder::new_multi_thread().worker_threads(THREADS).enable_all().build()?;
+        let runtime =
+            Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build()?;
         let router = router
-            .route("/admin/faults", get(show_faults).post(set_faults))
+            .route("/admin/faults", get(get_faults).post(set_faults))
             .layer(Extension(Arc::clone(&faults)));
-        let cell = RuntimeCell::default();
+        let shared = SharedRuntime::default();
         runtime.spawn(async move {
             let listener = TcpListener::from_std(listener).expect("the listener is non-blocking");
             Server::new(router).run(DefaultIncoming::from(listener)).await
         });
-        runtime.spawn(die(Arc::clone(&faults), Arc::clone(&cell)));
-        *cell.lock().expect("no holder of this lock panics") = Some(runtime);
-        Ok(Handle { addr, faults, cell })
+        runtime.spawn(stop_when_killed(Arc::clone(&faults), Arc::clone(&shared)));
+        *shared.lock().expect("no holder of this lock panics") = Some(runtime);
+        Ok(Handle { addr, faults, runtime: shared })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.addr)
     }
 
     /// Stops accepting and aborts all connections.
     pub fn stop(&self) {
-        stop(&self.cell);
+        stop(&self.runtime);
     }
 }
 
@@ -84,41 +89,46 @@
     }
 }
 
-fn stop(cell: &RuntimeCell) {
-    let runtime = cell.lock().expect("no holder of this lock panics").take();
+fn stop(shared: &SharedRuntime) {
+    let runtime = shared.lock().expect("no holder of this lock panics").take();
     if let Some(runtime) = runtime {
         runtime.shutdown_background();
     }
 }
 
-async fn die(faults: Arc<Switch>, cell: RuntimeCell) {
-    faults.dead().await;
-    stop(&cell);
+/// Stops the stand-in when the fault `die` is set.
+async fn stop_when_killed(faults: Arc<FaultInjector>, runtime: SharedRuntime) {
+    faults.wait_until_killed().await;
+    stop(&runtime);
 }
 
-async fn show_faults(Extension(faults): Extension<Arc<Switch>>) -> Response {
+async fn get_faults(Extension(faults): Extension<Arc<FaultInjector>>) -> Response {
     json(&faults.get())
 }
 
-async fn set_faults(Extension(switch): Extension<Arc<Switch>>, body: Bytes) -> Response {
-    parsed(&body, |faults: Faults| {
-        switch.set(faults);
+async fn set_faults(Extension(injector): Extension<Arc<FaultInjector>>, body: Bytes) -> Response {
+    parse_json(&body, |faults: Faults| {
+        injector.set(faults);
         StatusCode::NO_CONTENT.into_response()
     })
 }
 
-/// Answers a call at `path`, with the faults that concern whole calls.
-pub async fn guarded(faults: &Switch, path: &str, execute: impl FnOnce() -> Response) -> Response {
-    faults.resumed().await;
-    faults.slowed().await;
+/// Handles a call at `path`, with the faults that apply to whole calls.
+pub async fn with_faults(
+    faults: &FaultInjector,
+    path: &str,
+    execute: impl FnOnce() -> Response,
+) -> Response {
+    faults.wait_while_paused().await;
+    faults.delay().await;
     let reject = faults.take(|f| &mut f.reject, |r| path.starts_with(r.path.as_str()));
     if let Some(reject) = reject {
-        return rejected(&reject);
+        return rejection(&reject);
     }
     let lose = faults.take(|f| &mut f.lose, |l| path.starts_with(l.path.as_str()));
     let Some(lose) = lose else {
         let response = execute();
-        faults.resumed().await;
+        faults.wait_while_paused().await;
         return response;
     };
     if lose.effect {
@@ -126,11 +136,11 @@
     }
     match lose.hang {
         true => pending().await,
-        false => closed(),
+        false => close_connection(),
     }
 }
 
-fn rejected(reject: &Reject) -> Response {
+fn rejection(reject: &Reject) -> Response {
     let status = StatusCode::from_u16(reject.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     match reject.retry {
         Some(seconds) => ([(header::RETRY_AFTER, seconds.to_string())], status).into_response(),
@@ -138,21 +148,24 @@
     }
 }
 
-/// An answer that closes the connection before its first byte: the body fails at once, while the
-/// head is still in the server's buffer, and the server gives the connection up.
-fn closed() -> Response {
+/// Returns a response that makes the server close the connection before it sends a byte: the body
+/// fails immediately, while the head is still in the server's buffer.
+fn close_connection() -> Response {
     let failure = io::Error::from(io::ErrorKind::ConnectionAborted);
     Response::new(Body::from_stream(stream::iter([Err(failure.into())])))
 }
 
-/// A JSON answer.
+/// Returns a JSON response.
 pub fn json(value: &impl Serialize) -> Response {
-    let body = serde_json::to_vec(value).expect("answers always serialize");
+    let body = serde_json::to_vec(value).expect("responses always serialize");
     ([(header::CONTENT_TYPE, "application/json")], body).into_response()
 }
 
-/// Answers a call whose body is JSON.
-pub fn parsed<T: DeserializeOwned>(body: &[u8], execute: impl FnOnce(T) -> Response) -> Response {
+/// Parses a JSON body and executes the call; returns 400 if the body is invalid.
+pub fn parse_json<T: DeserializeOwned>(
+    body: &[u8],
+    execute: impl FnOnce(T) -> Response,
+) -> Response {
     match serde_json::from_slice(body) {
         Ok(request) => execute(request),
         Err(error) => (StatusCode::BAD_REQUEST, error.to_string()).into_response(),
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,12 +1,12 @@
-//! A plain service with a ledger.
+//! Stand-in for a plain service, which records calls in a ledger.
 
 use {
     crate::{
+        fault_injector::FaultInjector,
         lagged::Lagged,
         log::Log,
         register::register,
-        server::{Handle, guarded, json},
-        switch::Switch,
+        server::{Handle, json, with_faults},
     },
     bilberryfront_wire::{
         instance::{Instance, InstanceKind, InstanceState},
@@ -37,25 +37,25 @@
     },
 };
 
-/// Header that names a non-idempotent call.
+/// Header with the idempotency key of a non-idempotent call.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// What a plain service is.
+/// Configuration of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
     /// Name in the instance list.
     pub name: CompactString,
-    /// Catalogue entry it serves.
+    /// Catalogue entry that it serves.
     pub entry: CompactString,
-    /// Version it runs.
+    /// Version that it runs.
     pub version: CompactString,
     /// Failure domain.
     pub domain: CompactString,
-    /// Calls that it reports to take at once.
+    /// Maximum concurrent calls in load reports; not enforced.
     pub slots: u32,
     /// Age of load reports.
     pub lag: Duration,
-    /// Base URL of the instance list to register at.
+    /// Base URL of the instance list in which it registers.
     pub list: Option<CompactString>,
 }
 
@@ -76,7 +76,7 @@
 /// The stand-in.
 pub struct Service {
     config: ServiceConfig,
-    faults: Arc<Switch>,
+    faults: Arc<FaultInjector>,
     executed: Log<Executed>,
     ledger: Mutex<Vec<Record>>,
     running: AtomicU32,
@@ -91,9 +91,9 @@
     pub method: CompactString,
     /// Path and query.
     pub path: CompactString,
-    /// Its `Idempotency-Key`.
+    /// Value of `Idempotency-Key`.
     pub key: Option<CompactString>,
-    /// Body, as far as it is text.
+    /// Body; bytes that are not UTF-8 are replaced.
     pub body: String,
 }
 
@@ -103,39 +103,39 @@
 pub struct Record {
     /// Number, from 1.
     pub number: usize,
-    /// The call that made it.
+    /// Call that added it.
     pub call: Executed,
 }
 
-/// Answer of a `POST`: what was recorded.
+/// Response of a `POST`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Recorded {
-    /// Number of the record.
+    /// Number of the new record.
     pub number: usize,
 }
 
-/// Answer of a `GET`: the records made at the same path.
+/// Response of a `GET`: the records of `POST` calls with the same path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct History {
-    /// Oldest first.
+    /// Records, oldest first.
     pub records: Vec<Record>,
 }
 
-/// Answer of `GET /admin/log`.
+/// Response of `GET /admin/log`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct ServiceLog {
-    /// Every call that was executed, oldest first.
+    /// Executed calls, oldest first.
     pub executed: Vec<Executed>,
 }
 
-/// A call that is counted as running until dropped.
+/// Counts a call as running until dropped.
 struct Running<'a>(&'a Service);
 
 impl Service {
-    /// Starts a service, registered at the instance list if it has one.
+    /// Starts a service and registers it in the instance list, if one is configured.
     pub async fn start(listen: SocketAddr, config: ServiceConfig) -> io::Result<Handle> {
         let service = Arc::new(Service::new(config));
         let faults = Arc::clone(&service.faults);
@@ -154,8 +154,8 @@
     fn new(config: ServiceConfig) -> Service {
         let first = report(&config, 0);
         let reports = Mutex::new(Lagged::new(config.lag, Instant::now(), first));
-        let faults = Arc::new(Switch::default());
-        faults.update(|circumstances| circumstances.version = config.version.clone());
+        let faults = Arc::new(FaultInjector::default());
+        faults.update_activity(|activity| activity.version = config.version.clone());
         Service {
             config,
             faults,
@@ -181,7 +181,7 @@
     }
 
     fn execute(&self, call: Executed) -> Response {
-        self.faults.update(|circumstances| circumstances.calls += 1);
+        self.faults.update_activity(|activity| activity.calls += 1);
         self.executed.push(call.clone());
         let mut ledger = self.ledger.lock().expect("no holder of this lock panics");
         match call.method.as_str() {
@@ -198,26 +198,27 @@
         }
     }
 
-    fn running(&self) -> Running<'_> {
-        self.record(self.running.fetch_add(1, Ordering::Relaxed) + 1);
+    fn track_call(&self) -> Running<'_> {
+        self.record_load(self.running.fetch_add(1, Ordering::Relaxed) + 1);
         Running(self)
     }
 
-    fn record(&self, running: u32) {
+    /// Records the number of running calls for the load reports.
+    fn record_load(&self, running: u32) {
         let mut reports = self.reports.lock().expect("no holder of this lock panics");
-        self.faults.update(|circumstances| circumstances.running = running);
+        self.faults.update_activity(|activity| activity.running = running);
         reports.set(self.faults.clock(), report(&self.config, running));
     }
 
     fn load(&self) -> LoadReport {
         let mut reports = self.reports.lock().expect("no holder of this lock panics");
-        reports.seen(self.faults.clock()).clone()
+        reports.visible(self.faults.clock()).clone()
     }
 }
 
 impl Drop for Running<'_> {
     fn drop(&mut self) {
-        self.0.record(self.0.running.fetch_sub(1, Ordering::Relaxed) - 1);
+        self.0.record_load(self.0.running.fetch_sub(1, Ordering::Relaxed) - 1);
     }
 }
 
@@ -233,7 +234,7 @@
 }
 
 async fn call(Extension(service): Extension<Arc<Service>>, request: Request) -> Response {
-    let _running = service.running();
+    let _running = service.track_call();
     let (parts, body) = request.into_parts();
     let Ok(body) = body.into_bytes().await else {
         return StatusCode::BAD_REQUEST.into_response();
@@ -246,11 +247,11 @@
         body: String::from_utf8_lossy(&body).into_owned(),
     };
     let path = call.path.clone();
-    guarded(&service.faults, &path, || service.execute(call)).await
+    with_faults(&service.faults, &path, || service.execute(call)).await
 }
 
 async fn load(Extension(service): Extension<Arc<Service>>) -> Response {
-    guarded(&service.faults, "/load", || json(&service.load())).await
+    with_faults(&service.faults, "/load", || json(&service.load())).await
 }
 
 async fn log(Extension(service): Extension<Arc<Service>>) -> Response {
--- a/crates/standins/src/slots.rs
+++ b/crates/standins/src/slots.rs
@@ -1,4 +1,4 @@
-//! The places of a runner, given to waiting work by priority.
+//! Execution slots of a runner, assigned to waiters by priority.
 
 use {
     std::{
@@ -9,7 +9,7 @@
     tokio::sync::oneshot,
 };
 
-/// A fixed number of places.
+/// A fixed number of slots.
 pub struct Slots {
     total: u32,
     queue: Mutex<Queue>,
@@ -25,64 +25,65 @@
 struct Waiter {
     priority: u8,
     arrival: u64,
-    wake: oneshot::Sender<Slot>,
+    grant: oneshot::Sender<Slot>,
 }
 
-/// A place that is held; dropping it frees it.
+/// An acquired slot, released when dropped.
 pub struct Slot(Option<Arc<Slots>>);
 
-/// What a runner has to do.
+/// Number of slots in use and of waiters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Occupancy {
-    /// Places held.
+    /// Acquired slots.
     pub running: u32,
-    /// Work that waits for a place.
+    /// Callers that wait for a slot.
     pub waiting: u32,
 }
 
 impl Slots {
-    /// `total` free places.
+    /// Creates `total` free slots.
     pub fn new(total: u32) -> Slots {
         Slots { total, queue: Mutex::default() }
     }
 
-    /// Waits for a place; higher priorities go first, then earlier arrivals.
+    /// Waits for a slot. Higher priorities are served first, then earlier arrivals.
     pub async fn acquire(self: &Arc<Slots>, priority: u8) -> Slot {
-        match self.enter(priority) {
+        match self.try_acquire(priority) {
             Ok(slot) => slot,
             Err(granted) => granted.await.expect("a waiter stays in the queue until granted"),
         }
     }
 
-    /// Work running and waiting.
+    /// Returns the number of acquired slots and of waiters.
     pub fn occupancy(&self) -> Occupancy {
         let queue = self.lock();
-        let waiting = queue.waiting.iter().filter(|waiter| !waiter.wake.is_closed()).count();
+        let waiting = queue.waiting.iter().filter(|waiter| !waiter.grant.is_closed()).count();
         Occupancy { running: queue.running, waiting: waiting as u32 }
     }
 
-    fn enter(self: &Arc<Slots>, priority: u8) -> Result<Slot, oneshot::Receiver<Slot>> {
+    /// Acquires a free slot, or else joins the queue.
+    fn try_acquire(self: &Arc<Slots>, priority: u8) -> Result<Slot, oneshot::Receiver<Slot>> {
         let mut queue = self.lock();
         if queue.running < self.total {
             queue.running += 1;
             return Ok(Slot(Some(Arc::clone(self))));
         }
-        let (wake, granted) = oneshot::channel();
+        let (grant, granted) = oneshot::channel();
         queue.arrivals += 1;
         let arrival = queue.arrivals;
-        queue.waiting.push(Waiter { priority, arrival, wake });
+        queue.waiting.push(Waiter { priority, arrival, grant });
         Err(granted)
     }
 
-    /// Hands a place that became free to the first waiter that is still there.
+    /// Passes a released slot to the first waiter that has not given up.
     fn release(self: Arc<Slots>) {
         let mut queue = self.lock();
         while let Some(waiter) = queue.waiting.pop() {
-            let Err(mut refused) = waiter.wake.send(Slot(Some(Arc::clone(&self)))) else {
+            let Err(mut unclaimed) = waiter.grant.send(Slot(Some(Arc::clone(&self)))) else {
                 return;
             };
-            // Its drop would come back here while the queue is locked.
-            refused.0 = None;
+            // Dropping it with a reference would call `release` again while the queue is locked.
+            unclaimed.0 = None;
         }
         queue.running -= 1;
     }
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -1,10 +1,10 @@
-//! The platform's table service, in memory.
+//! Stand-in for the platform's table service, in memory.
 
 use {
     crate::{
+        fault_injector::FaultInjector,
         rows::RowStore,
-        server::{Handle, guarded, json, parsed},
-        switch::Switch,
+        server::{Handle, json, parse_json, with_faults},
     },
     bilberryfront_wire::table::{Commit, Committed, Read, Rows, Scan, Written},
     bytes::Bytes,
@@ -21,24 +21,24 @@
     },
 };
 
-/// Answer of `GET /admin/counts`.
+/// Response of `GET /admin/counts`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Counts {
-    /// Commits that were executed, whatever came of their writes.
+    /// Executed commits, including those whose writes conflicted.
     pub commits: u64,
-    /// Writes done.
+    /// Applied writes.
     pub writes: u64,
-    /// Reads and scans executed.
+    /// Executed reads and scans.
     pub reads: u64,
-    /// Rows that exist.
+    /// Existing rows.
     pub rows: u64,
 }
 
 /// The stand-in.
 #[derive(Default)]
 pub struct Table {
-    faults: Arc<Switch>,
+    faults: Arc<FaultInjector>,
     state: Mutex<State>,
 }
 
@@ -88,18 +88,24 @@
 }
 
 async fn commit(Extension(table): Extension<Arc<Table>>, body: Bytes) -> Response {
-    guarded(&table.faults, "/commit", || {
-        parsed(&body, |commit| json(&table.lock().commit(&commit)))
+    with_faults(&table.faults, "/commit", || {
+        parse_json(&body, |commit| json(&table.lock().commit(&commit)))
     })
     .await
 }
 
 async fn read(Extension(table): Extension<Arc<Table>>, body: Bytes) -> Response {
-    guarded(&table.faults, "/read", || parsed(&body, |read| json(&table.lock().read(&read)))).await
+    with_faults(&table.faults, "/read", || {
+        parse_json(&body, |read| json(&table.lock().read(&read)))
+    })
+    .await
 }
 
 async fn scan(Extension(table): Extension<Arc<Table>>, body: Bytes) -> Response {
-    guarded(&table.faults, "/scan", || parsed(&body, |scan| json(&table.lock().scan(&scan)))).await
+    with_faults(&table.faults, "/scan", || {
+        parse_json(&body, |scan| json(&table.lock().scan(&scan)))
+    })
+    .await
 }
 
 async fn counts(Extension(table): Extension<Arc<Table>>) -> Response {
--- a/crates/standins/tests/standins/client.rs
+++ b/crates/standins/tests/standins/client.rs
@@ -1,4 +1,4 @@
-//! A plain client, and starting stand-ins for a test.
+//! HTTP client and set-up shared by the tests.
 
 use {
     bilberryfront_standins::{
@@ -17,49 +17,49 @@
     },
 };
 
-/// Any free port of the loopback interface.
+/// Loopback address with any free port.
 pub(crate) const ANY: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// What a stream brought until it ended.
+/// Events of a stream up to its end.
 #[derive(Debug, Default)]
 pub(crate) struct Stream {
     /// Event id and token of each event.
     pub(crate) tokens: Vec<(CompactString, Token)>,
-    /// Its last but one event.
+    /// Data of the `finish` event.
     pub(crate) finish: Option<Finish>,
-    /// Whether `[DONE]` came.
+    /// Whether `[DONE]` was received.
     pub(crate) done: bool,
-    /// Whether it broke off, or held what is no event.
+    /// Whether the connection failed or an event was invalid.
     pub(crate) broken: bool,
 }
 
 impl Stream {
-    /// The text of all tokens.
+    /// Returns the text of all tokens.
     pub(crate) fn text(&self) -> String {
         self.tokens.iter().map(|(_, token)| token.text.as_str()).collect()
     }
 
-    /// The indices of all tokens.
+    /// Returns the indices of all tokens.
     pub(crate) fn indices(&self) -> Vec<u32> {
         self.tokens.iter().map(|(_, token)| token.index).collect()
     }
 }
 
-/// Sends JSON; `None` when no answer came.
+/// Sends JSON; `None` if there is no response.
 pub(crate) async fn post(url: &str, body: &impl Serialize) -> Option<Response> {
     let body = Body::from(serde_json::to_vec(body).unwrap());
     client().post(url.to_owned()).body(body).send::<Body>().await.ok()
 }
 
-/// Sends JSON and reads JSON.
-pub(crate) async fn ask<A: DeserializeOwned>(url: &str, body: &impl Serialize) -> A {
+/// Sends JSON and parses a JSON response.
+pub(crate) async fn post_json<A: DeserializeOwned>(url: &str, body: &impl Serialize) -> A {
     let response = post(url, body).await.expect("an answer");
     assert_eq!(response.status(), StatusCode::OK);
     serde_json::from_slice(&response.into_body().into_bytes().await.unwrap()).unwrap()
 }
 
-/// Reads JSON.
+/// Fetches JSON.
 pub(crate) async fn get<A: DeserializeOwned>(url: &str) -> A {
     let response = client().get(url.to_owned()).send::<Body>().await.expect("an answer");
     assert_eq!(response.status(), StatusCode::OK);
@@ -67,13 +67,13 @@
 }
 
 /// Starts a runner whose answers have ten tokens.
-pub(crate) async fn runner() -> Handle {
+pub(crate) async fn start_runner() -> Handle {
     let config = RunnerConfig { answer: Some(10), ..RunnerConfig::default() };
     Runner::start(ANY, config).await.unwrap()
 }
 
-/// Asks for an answer from its beginning.
-pub(crate) fn question() -> Generate {
+/// Returns a request for a generation from its first token.
+pub(crate) fn new_request() -> Generate {
     Generate {
         request: "request".into(),
         attempt: 1,
@@ -113,7 +113,7 @@
     }
 }
 
-/// The log of a runner.
+/// Fetches the log of a runner.
 pub(crate) async fn log(runner: &Handle) -> RunnerLog {
     get(&format!("{}/admin/log", runner.url())).await
 }
--- a/crates/standins/tests/standins/list.rs
+++ b/crates/standins/tests/standins/list.rs
@@ -24,12 +24,12 @@
     post(&url, &instance).await.unwrap().status()
 }
 
-async fn seen(list: &Handle) -> InstanceList {
+async fn visible(list: &Handle) -> InstanceList {
     get(&format!("{}/instances", list.url())).await
 }
 
 #[tokio::test]
-async fn keeps_instances() {
+async fn adds_replaces_and_marks_instances() {
     let list = List::start(ANY, Duration::ZERO).await.unwrap();
     assert_eq!(upsert(&list, "a").await, StatusCode::NO_CONTENT);
     assert_eq!(upsert(&list, "b").await, StatusCode::NO_CONTENT);
@@ -37,20 +37,20 @@
     let leave = |name| format!("{}/instances/{name}/leave", list.url());
     assert_eq!(post(&leave("b"), &()).await.unwrap().status(), StatusCode::NO_CONTENT);
     assert_eq!(post(&leave("c"), &()).await.unwrap().status(), StatusCode::NOT_FOUND);
-    let seen = seen(&list).await;
-    assert_eq!(seen.revision, 4);
-    let states: Vec<_> = seen.instances.iter().map(|i| (i.name.as_str(), i.state)).collect();
+    let visible = visible(&list).await;
+    assert_eq!(visible.revision, 4);
+    let states: Vec<_> = visible.instances.iter().map(|i| (i.name.as_str(), i.state)).collect();
     assert_eq!(states, [("a", InstanceState::Live), ("b", InstanceState::Leaving)]);
 }
 
-/// The reader sees the same instances however often it asks, while others come; then all at once.
+/// A reader sees the same list while `freeze` is set, and all changes made meanwhile after that.
 #[tokio::test]
-async fn freezes() {
+async fn freeze_hides_changes() {
     let list = List::start(ANY, Duration::ZERO).await.unwrap();
     upsert(&list, "a").await;
     list.faults.set(Faults { freeze: true, ..Faults::default() });
     upsert(&list, "b").await;
-    assert_eq!(seen(&list).await.revision, 1);
+    assert_eq!(visible(&list).await.revision, 1);
     list.faults.set(Faults::default());
-    assert_eq!(seen(&list).await.revision, 2);
+    assert_eq!(visible(&list).await.revision, 2);
 }
--- a/crates/standins/tests/standins/main.rs
+++ b/crates/standins/tests/standins/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins over real HTTP on loopback.
+//! Tests of the stand-ins, over HTTP on loopback.
 
 mod client;
 mod lagged;
--- a/crates/standins/tests/standins/runner.rs
+++ b/crates/standins/tests/standins/runner.rs
@@ -1,7 +1,7 @@
-//! The engine's streams, orders and faults.
+//! Streams, orders and faults of the stand-in engine.
 
 use {
-    crate::client::{ANY, generate, get, log, post, question, runner},
+    crate::client::{ANY, generate, get, log, new_request, post, start_runner},
     bilberryfront_standins::{
         faults::{After, Faults, Lose, Reject, When},
         list::List,
@@ -17,12 +17,13 @@
     std::time::Duration,
 };
 
-const AT_FOUR: Option<After> = Some(After { tokens: 4, once: true });
+/// One-shot fault after four tokens.
+const AFTER_FOUR_TOKENS: Option<After> = Some(After { tokens: 4, once: true });
 
 #[tokio::test]
-async fn writes_the_whole_answer() {
-    let runner = runner().await;
-    let stream = generate(&runner, &question()).await;
+async fn streams_the_whole_answer() {
+    let runner = start_runner().await;
+    let stream = generate(&runner, &new_request()).await;
     let expected: String =
         (0..10).map(|index| token("v1", "a question", index, Sampling::Same)).collect();
     assert_eq!(stream.text(), expected);
@@ -33,8 +34,8 @@
 
 #[tokio::test]
 async fn ends_at_max_tokens() {
-    let runner = runner().await;
-    let mut request = question();
+    let runner = start_runner().await;
+    let mut request = new_request();
     request.max_tokens = 6;
     let stream = generate(&runner, &request).await;
     assert_eq!(stream.tokens.len(), 6);
@@ -42,24 +43,24 @@
 }
 
 #[tokio::test]
-async fn resumed_parts_make_the_whole() {
-    let runner = runner().await;
-    let whole = generate(&runner, &question()).await.text();
+async fn resumed_generation_continues_the_text() {
+    let runner = start_runner().await;
+    let full_text = generate(&runner, &new_request()).await.text();
     let answer = Answer::new("v1", "a question", Sampling::Same, None);
     for index in 0..=10 {
-        let mut request = question();
+        let mut request = new_request();
         request.attempt = 2;
         request.index = index;
         request.prefix = answer.text(index);
         let rest = generate(&runner, &request).await;
-        assert_eq!(request.prefix + &rest.text(), whole);
+        assert_eq!(request.prefix + &rest.text(), full_text);
         assert!(rest.done);
     }
     assert!(log(&runner).await.calls.iter().all(|call| call.coherent));
 }
 
 #[test]
-fn natural_answers_differ_in_length_and_leave_ascii() {
+fn derived_answers_vary_in_length_and_are_not_ascii() {
     let answer = |prompt: &str| Answer::new("v1", prompt, Sampling::Same, None);
     let first = answer("a").finish(u32::MAX).tokens;
     assert_ne!(first, answer("b").finish(u32::MAX).tokens);
@@ -67,73 +68,74 @@
 }
 
 #[tokio::test]
-async fn refuses_another_version() {
-    let runner = runner().await;
-    let mut request = question();
+async fn rejects_another_version() {
+    let runner = start_runner().await;
+    let mut request = new_request();
     request.version = "v2".into();
     let response = post(&format!("{}/generate", runner.url()), &request).await.unwrap();
     assert_eq!(response.status(), StatusCode::CONFLICT);
     assert_eq!(log(&runner).await.calls[0].ended, Some(Ended::Refused));
 }
 
-/// The caller sees the first tokens, then a broken connection. The runner must have written just
-/// as many as its log says, or tests that count tokens across a cut would be wrong. The next
-/// stream is whole, since the fault is for once.
+/// Guards against a cut that loses tokens which the log counts as written: tests that count tokens
+/// across a cut rely on the log. The next stream is complete because the fault is one-shot.
 #[tokio::test]
-async fn cuts_after_just_so_many_tokens() {
-    let runner = runner().await;
-    runner.faults.set(Faults { cut: AT_FOUR, ..Faults::default() });
-    let cut = generate(&runner, &question()).await;
+async fn cuts_a_stream_after_the_given_tokens() {
+    let runner = start_runner().await;
+    runner.faults.set(Faults { cut: AFTER_FOUR_TOKENS, ..Faults::default() });
+    let cut = generate(&runner, &new_request()).await;
     assert_eq!(cut.indices(), [0, 1, 2, 3]);
     assert!(cut.broken && !cut.done);
-    assert!(generate(&runner, &question()).await.done);
+    assert!(generate(&runner, &new_request()).await.done);
     let log = log(&runner).await;
     assert_eq!((log.calls[0].written, log.calls[0].ended), (4, Some(Ended::Cut)));
 }
 
-/// The caller sees a stream that ends properly in HTTP's terms, and only the absence of the last
-/// events tells that it isn't whole.
+/// The HTTP body ends correctly; only the missing last events show that the stream is incomplete.
 #[tokio::test]
 async fn ends_early_without_finish() {
-    let runner = runner().await;
-    runner.faults.set(Faults { end: AT_FOUR, ..Faults::default() });
-    let early = generate(&runner, &question()).await;
+    let runner = start_runner().await;
+    runner.faults.set(Faults { end: AFTER_FOUR_TOKENS, ..Faults::default() });
+    let early = generate(&runner, &new_request()).await;
     assert_eq!(early.indices(), [0, 1, 2, 3]);
     assert!(!early.broken && !early.done && early.finish.is_none());
 }
 
-/// The caller sees a stream that is complete by its last events, but a token is missing or comes
-/// twice, ids name an attempt that nobody made, or the text isn't that of the other attempts.
+/// Apart from the one with an invalid event, these streams end with all their last events, but a
+/// token is missing or repeated, ids have the wrong attempt, or the text differs between attempts.
 #[tokio::test]
-async fn mars_streams() {
-    let runner = runner().await;
-    let whole = generate(&runner, &question()).await.text();
+async fn injects_faults_into_streams() {
+    let runner = start_runner().await;
+    let full_text = generate(&runner, &new_request()).await.text();
 
-    runner.faults.set(Faults { skip: AT_FOUR, ..Faults::default() });
-    assert_eq!(generate(&runner, &question()).await.indices(), [0, 1, 2, 3, 5, 6, 7, 8, 9]);
+    runner.faults.set(Faults { skip: AFTER_FOUR_TOKENS, ..Faults::default() });
+    assert_eq!(generate(&runner, &new_request()).await.indices(), [0, 1, 2, 3, 5, 6, 7, 8, 9]);
 
-    runner.faults.set(Faults { repeat: AT_FOUR, ..Faults::default() });
-    assert_eq!(generate(&runner, &question()).await.indices(), [0, 1, 2, 3, 4, 4, 5, 6, 7, 8, 9]);
+    runner.faults.set(Faults { repeat: AFTER_FOUR_TOKENS, ..Faults::default() });
+    assert_eq!(
+        generate(&runner, &new_request()).await.indices(),
+        [0, 1, 2, 3, 4, 4, 5, 6, 7, 8, 9]
+    );
 
-    runner.faults.set(Faults { garbage: AT_FOUR, ..Faults::default() });
-    assert!(generate(&runner, &question()).await.broken);
+    runner.faults.set(Faults { garbage: AFTER_FOUR_TOKENS, ..Faults::default() });
+    assert!(generate(&runner, &new_request()).await.broken);
 
     runner.faults.set(Faults { shift: 1, ..Faults::default() });
-    assert_eq!(generate(&runner, &question()).await.tokens[0].0, "2:0");
+    assert_eq!(generate(&runner, &new_request()).await.tokens[0].0, "2:0");
 
     runner.faults.set(Faults { differs: true, ..Faults::default() });
-    assert_ne!(generate(&runner, &question()).await.text(), whole);
+    assert_ne!(generate(&runner, &new_request()).await.text(), full_text);
 }
 
-/// The caller sees the head of an answer and then silence. The runner learns that the caller gave
-/// up when the connection closes; the log must say so, since product tests count cancellations.
+/// A caller that receives a response head and then nothing closes the connection. The runner's log
+/// must record the cancellation, because tests of the product count them.
 #[tokio::test]
 async fn closing_a_stalled_stream_cancels_it() {
-    let runner = runner().await;
+    let runner = start_runner().await;
     let after = Some(After { tokens: 0, once: false });
     runner.faults.set(Faults { stall: after, ..Faults::default() });
     let url = format!("{}/generate", runner.url());
-    let response = post(&url, &question()).await.unwrap();
+    let response = post(&url, &new_request()).await.unwrap();
     assert_eq!(response.status(), StatusCode::OK);
     drop(response);
     while log(&runner).await.cancelled == 0 {
@@ -142,33 +144,33 @@
     assert_eq!(log(&runner).await.calls[0].ended, Some(Ended::Cancelled));
 }
 
-/// The caller sees a refusal with a time to come back, then no answer at all though its request
-/// was read. Only the second may have had an effect.
+/// The first call is rejected with `Retry-After`; the second is read but gets no response, so that
+/// its caller cannot know whether it was executed.
 #[tokio::test]
-async fn rejects_or_closes_without_an_answer() {
-    let runner = runner().await;
+async fn rejects_a_call_or_closes_without_a_response() {
+    let runner = start_runner().await;
     let url = format!("{}/generate", runner.url());
     let reject = Reject { status: 503, retry: Some(7), path: "/generate".into(), once: true };
     runner.faults.set(Faults { reject: Some(reject), ..Faults::default() });
-    let response = post(&url, &question()).await.unwrap();
+    let response = post(&url, &new_request()).await.unwrap();
     assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(response.headers()[header::RETRY_AFTER], "7");
 
     let lose = Lose { effect: false, hang: false, path: "".into(), once: true };
     runner.faults.set(Faults { lose: Some(lose), ..Faults::default() });
-    assert!(post(&url, &question()).await.is_none());
+    assert!(post(&url, &new_request()).await.is_none());
     assert!(log(&runner).await.calls.is_empty());
-    assert!(generate(&runner, &question()).await.done);
+    assert!(generate(&runner, &new_request()).await.done);
 }
 
-/// The caller sees its tokens stop and, when the runner wakes, go on where they were. A node that
-/// has meanwhile gone on at another runner gets these old tokens late, under the old attempt.
+/// After a pause the stream continues with the next token. A node that has resumed the generation on
+/// another runner meanwhile receives these tokens late, with the old attempt number.
 #[tokio::test]
-async fn a_paused_stream_goes_on() {
+async fn paused_stream_continues() {
     let pace = Duration::from_millis(1);
     let config = RunnerConfig { pace, answer: Some(50), ..RunnerConfig::default() };
     let runner = Runner::start(ANY, config).await.unwrap();
-    let request = question();
+    let request = new_request();
     let pause = async {
         while log(&runner).await.calls.first().is_none_or(|call| call.written == 0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -182,11 +184,10 @@
     assert!(stream.done);
 }
 
-/// The caller sees nothing wrong with the old version. Once the runner was ordered to load the new
-/// one, which is bad, it sees refusals; after an order back, none.
+/// The runner rejects calls while the bad version is loaded, and no longer after a roll-back.
 #[tokio::test]
-async fn only_the_bad_version_is_bad() {
-    let runner = runner().await;
+async fn version_condition_limits_faults_to_one_version() {
+    let runner = start_runner().await;
     let reject = Reject { status: 500, retry: None, path: "/generate".into(), once: false };
     let when = When { version: "v2".into(), ..When::default() };
     runner.faults.set(Faults { reject: Some(reject), when, ..Faults::default() });
@@ -195,30 +196,30 @@
         let order = Order { fence: 1, kind };
         let ordered = post(&format!("{}/orders", runner.url()), &order).await.unwrap();
         assert_eq!(ordered.status(), StatusCode::NO_CONTENT);
-        let mut request = question();
+        let mut request = new_request();
         request.version = version.into();
         let response = post(&format!("{}/generate", runner.url()), &request).await.unwrap();
         assert_eq!(response.status().as_u16(), status);
     }
 }
 
-/// The caller sees a version that goes bad only after its first calls.
+/// The first call succeeds and the second fails.
 #[tokio::test]
-async fn goes_bad_later() {
-    let runner = runner().await;
+async fn calls_condition_delays_faults() {
+    let runner = start_runner().await;
     let when = When { calls: 2, ..When::default() };
-    runner.faults.set(Faults { end: AT_FOUR, when, ..Faults::default() });
-    assert!(generate(&runner, &question()).await.done);
-    assert!(!generate(&runner, &question()).await.done);
+    runner.faults.set(Faults { end: AFTER_FOUR_TOKENS, when, ..Faults::default() });
+    assert!(generate(&runner, &new_request()).await.done);
+    assert!(!generate(&runner, &new_request()).await.done);
 }
 
-/// The caller sees its connection break in the middle of a stream, and none is accepted after.
+/// The connection fails in the middle of a stream, and no new one is accepted.
 #[tokio::test]
 async fn death_aborts_streams() {
-    let runner = runner().await;
+    let runner = start_runner().await;
     let after = Some(After { tokens: 4, once: false });
     runner.faults.set(Faults { stall: after, ..Faults::default() });
-    let request = question();
+    let request = new_request();
     let stream = generate(&runner, &request);
     let death = async {
         while log(&runner).await.calls.first().is_none_or(|call| call.written < 4) {
@@ -228,12 +229,12 @@
     };
     let (stream, ()) = tokio::join!(stream, death);
     assert!(stream.broken && !stream.done);
-    assert!(post(&format!("{}/generate", runner.url()), &question()).await.is_none());
+    assert!(post(&format!("{}/generate", runner.url()), &new_request()).await.is_none());
 }
 
 #[tokio::test]
-async fn fenced_runners_refuse_old_orders() {
-    let runner = runner().await;
+async fn fenced_runner_rejects_outdated_orders() {
+    let runner = start_runner().await;
     let url = format!("{}/orders", runner.url());
     let load =
         |fence, version: &str| Order { fence, kind: OrderKind::Load { version: version.into() } };
@@ -251,21 +252,21 @@
 }
 
 #[tokio::test]
-async fn draining_refuses_new_work() {
-    let runner = runner().await;
+async fn draining_runner_rejects_new_requests() {
+    let runner = start_runner().await;
     let order = Order { fence: 1, kind: OrderKind::Drain };
     post(&format!("{}/orders", runner.url()), &order).await.unwrap();
-    let response = post(&format!("{}/generate", runner.url()), &question()).await.unwrap();
+    let response = post(&format!("{}/generate", runner.url()), &new_request()).await.unwrap();
     assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
     let report: LoadReport = get(&format!("{}/load", runner.url())).await;
     assert!(report.leaving);
 }
 
 #[tokio::test]
-async fn publishes_cache_events_with_gaps() {
-    let runner = runner().await;
+async fn reports_cache_events_with_gaps() {
+    let runner = start_runner().await;
     for prompt in ["a", "b", "a"] {
-        let mut request = question();
+        let mut request = new_request();
         request.prompt = prompt.into();
         generate(&runner, &request).await;
     }
@@ -279,7 +280,7 @@
 }
 
 #[tokio::test]
-async fn registers_at_the_list() {
+async fn registers_in_the_instance_list() {
     let list = List::start(ANY, Duration::ZERO).await.unwrap();
     let config = RunnerConfig { list: Some(list.url().into()), ..RunnerConfig::default() };
     let runner = Runner::start(ANY, config).await.unwrap();
--- a/crates/standins/tests/standins/slots.rs
+++ b/crates/standins/tests/standins/slots.rs
@@ -1,4 +1,4 @@
-//! Places that are given by priority.
+//! Slots assigned by priority.
 
 use {
     bilberryfront_standins::slots::{Occupancy, Slots},
@@ -6,10 +6,10 @@
     std::{pin::pin, sync::Arc},
 };
 
-/// Two wait for one place, and a third gave up. The higher priority gets the place though it came
-/// later, and the one that gave up gets none.
+/// Two callers wait for one slot and a third has given up. The one with the higher priority gets the
+/// slot although it arrived later, and the one that gave up gets none.
 #[tokio::test]
-async fn the_highest_priority_goes_first() {
+async fn highest_priority_is_served_first() {
     let slots = Arc::new(Slots::new(1));
     let held = slots.acquire(0).await;
     let mut low = pin!(slots.acquire(1));
@@ -17,8 +17,8 @@
     assert!(poll!(&mut low).is_pending());
     assert!(poll!(&mut high).is_pending());
     {
-        let mut gone = pin!(slots.acquire(9));
-        assert!(poll!(&mut gone).is_pending());
+        let mut cancelled = pin!(slots.acquire(9));
+        assert!(poll!(&mut cancelled).is_pending());
     }
     assert_eq!(slots.occupancy(), Occupancy { running: 1, waiting: 2 });
     drop(held);
--- a/crates/standins/tests/standins/table.rs
+++ b/crates/standins/tests/standins/table.rs
@@ -1,7 +1,7 @@
-//! The table's conditional writes and its faults.
+//! Conditional writes and faults of the stand-in table.
 
 use {
-    crate::client::{ANY, ask, get, post},
+    crate::client::{ANY, get, post, post_json},
     bilberryfront_standins::{
         faults::{Faults, Lose, Reject},
         server::Handle,
@@ -17,17 +17,17 @@
 
 async fn commit(table: &Handle, atomic: bool, writes: Vec<Write>) -> Vec<Written> {
     let commit = Commit { atomic, writes };
-    ask::<Committed>(&format!("{}/commit", table.url()), &commit).await.results
+    post_json::<Committed>(&format!("{}/commit", table.url()), &commit).await.results
 }
 
 async fn values(table: &Handle, keys: &[&str]) -> Vec<String> {
     let read = Read { keys: keys.iter().map(|key| (*key).into()).collect() };
-    let rows: Rows = ask(&format!("{}/read", table.url()), &read).await;
+    let rows: Rows = post_json(&format!("{}/read", table.url()), &read).await;
     rows.rows.into_iter().map(|row| row.value).collect()
 }
 
 #[tokio::test]
-async fn writes_on_condition() {
+async fn writes_conditionally() {
     let table = Table::start(ANY).await.unwrap();
     let insert = || vec![write("a", Some(0), Some("first"))];
     assert_eq!(commit(&table, false, insert()).await, [Written::Done(1)]);
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn atomic_commits_do_all_or_nothing() {
+async fn atomic_commits_apply_all_writes_or_none() {
     let table = Table::start(ANY).await.unwrap();
     commit(&table, false, vec![write("a", None, Some("x"))]).await;
     let mixed = || vec![write("b", Some(0), Some("y")), write("a", Some(0), Some("z"))];
@@ -52,20 +52,20 @@
 }
 
 #[tokio::test]
-async fn scans_below_a_prefix_in_order() {
+async fn scans_a_prefix_in_key_order() {
     let table = Table::start(ANY).await.unwrap();
     let keys = ["b/2", "a/1", "b/1", "c/1", "b/3"];
     commit(&table, true, keys.iter().map(|key| write(key, None, Some(key))).collect()).await;
     let scan = Scan { prefix: "b/".into(), limit: 2 };
-    let rows: Rows = ask(&format!("{}/scan", table.url()), &scan).await;
+    let rows: Rows = post_json(&format!("{}/scan", table.url()), &scan).await;
     let keys: Vec<_> = rows.rows.iter().map(|row| row.key.as_str()).collect();
     assert_eq!(keys, ["b/1", "b/2"]);
 }
 
-/// The caller sees its connection close without an answer, though its insert was done. When it
-/// inserts again it is told of a conflict, with the row that it made itself.
+/// The connection closes without a response although the insert was applied. A repeated insert
+/// conflicts with the row that the first one created.
 #[tokio::test]
-async fn a_lost_reply_has_its_effect() {
+async fn commit_is_applied_although_its_response_is_lost() {
     let table = Table::start(ANY).await.unwrap();
     let lose = Lose { effect: true, hang: false, path: "/commit".into(), once: true };
     table.faults.set(Faults { lose: Some(lose), ..Faults::default() });
@@ -78,9 +78,9 @@
     assert_eq!(counts, Counts { commits: 2, writes: 1, reads: 1, rows: 1 });
 }
 
-/// The caller sees 503 for as long as the service is down, and nothing that it sent was done.
+/// While the service is down, commits are rejected with 503 and not applied.
 #[tokio::test]
-async fn does_nothing_while_down() {
+async fn rejects_commits_while_down() {
     let table = Table::start(ANY).await.unwrap();
     let reject = Reject { status: 503, retry: None, path: "".into(), once: false };
     table.faults.set(Faults { reject: Some(reject), ..Faults::default() });
