--- a/crates/decide/examples/cost/bench.rs
+++ b/crates/decide/examples/cost/bench.rs
@@ -2,9 +2,9 @@
 
 use {
     bilberryfront_decide::{
-        Action, Core, Event, Place,
+        Action, Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
-        event::{Ask, Done, PeerUse, Purpose, Verdict},
+        event::{Done, PeerUse, Purpose, RunnerRequest, Verdict},
         id::{AccountKey, EntryKey, Ticket},
     },
     bilberryfront_wire::{
@@ -44,14 +44,14 @@
     }
 }
 
-/// Prints the growth of the resident memory by a core of the design's size. It comes first, as later
-/// cores reuse what earlier ones have freed.
+/// Prints the growth of the resident memory by a core of the design's size. It comes first, as
+/// later cores reuse what earlier ones have freed.
 fn memory() {
     let list = list(4_900, 1_100);
     let before = resident();
     let core = core(&list, 1_000_000);
     let grown = resident().saturating_sub(before) / 1024;
-    let watched = core.watched().count();
+    let watched = core.polled().count();
     println!("4900 runners, {watched} of them watched, 1100 nodes: {grown} KiB resident");
 }
 
@@ -77,12 +77,13 @@
     Row { decision, queued: cost(&mut full, nodes, true), list: again }
 }
 
-/// A core whose entries have this limit and that knows the list, and the load and caches of the runners that it watches.
+/// A core whose entries have this limit and that knows the list, and the load and caches of the
+/// runners that it watches.
 fn core(list: &InstanceList, concurrent: u32) -> Core {
-    let place = Place { region: "region-0".into(), domain: "domain-0".into() };
+    let place = Location { region: "region-0".into(), domain: "domain-0".into() };
     let mut core = Core::new(1, place);
     let now = Instant::now();
-    let catalog = Arc::new(Catalog::default().renew(1, &doc(concurrent)));
+    let catalog = Arc::new(Catalog::default().updated(1, &doc(concurrent)));
     core.step(
         now,
         Event::Catalog { revision: catalog.revision, doc: Arc::new(catalog.doc()) },
@@ -120,7 +121,7 @@
         if i == warm {
             started = Instant::now();
         }
-        let ask = Ask {
+        let ask = RunnerRequest {
             ticket: Ticket(i),
             entry: entries[i as usize % entries.len()],
             account: accounts[i as usize * 7 % accounts.len()],
@@ -129,16 +130,17 @@
             avoid: None,
             purpose: Purpose::First,
         };
-        core.step(now, Event::Ask(ask), &mut out);
+        core.step(now, Event::Request(ask), &mut out);
         if running.len() >= RUNNING || queued && i >= warm {
             let ticket = running.pop_front().expect("it is not empty");
-            let done = Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, again: false };
+            let done =
+                Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, will_retry: false };
             core.step(now, Event::Done(done), &mut out);
         }
         for action in out.drain(..) {
             match action {
                 Action::Grant(grant) => running.push_back(grant.ticket),
-                Action::Refuse(_) => assert!(queued, "a refusal must not pass for a grant"),
+                Action::Reject(_) => assert!(queued, "a refusal must not pass for a grant"),
             }
         }
     }
@@ -147,7 +149,7 @@
 
 /// Each watched runner reports its load and its cache.
 fn report(core: &mut Core, now: Instant) {
-    let watched = core.watched().map(|(k, r)| (k, r.version.clone())).collect::<Vec<_>>();
+    let watched = core.polled().map(|(k, r)| (k, r.version.clone())).collect::<Vec<_>>();
     for (n, (runner, version)) in watched.into_iter().enumerate() {
         let prefix = |i| (n as u64 * 101 + i * 17) % 20_000;
         let cache =
--- a/crates/decide/tests/routing/budget.rs
+++ b/crates/decide/tests/routing/budget.rs
@@ -6,7 +6,7 @@
         Action, Event,
         action::{Grant, Reason},
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
     },
     std::collections::BTreeMap,
 };
@@ -79,7 +79,7 @@
     }
     let refused = refusals(&out);
     assert!(refused.iter().any(|r| r.reason == Reason::NoBudget));
-    assert!(refused.iter().all(|r| r.retry.is_some_and(|t| t.as_secs() >= 1)));
+    assert!(refused.iter().all(|r| r.retry_after.is_some_and(|t| t.as_secs() >= 1)));
 }
 
 #[test]
@@ -91,13 +91,13 @@
     let (first, out) = world.ask(0);
     assert!(out.is_empty());
     assert!(world.step(done(running[0].ticket, Verdict::Broken, true)).is_empty());
-    let ask = Ask {
+    let ask = RunnerRequest {
         ticket: running[0].ticket,
-        purpose: Purpose::Again,
+        purpose: Purpose::Retry,
         avoid: Some(running[0].runner),
         ..world.draft(0)
     };
-    let out = world.step(Event::Ask(ask));
+    let out = world.step(Event::Request(ask));
     assert_eq!(grants(&out)[0].ticket, running[0].ticket);
     let out = world.done(running[0].ticket, Verdict::Ok);
     assert_eq!(grants(&out)[0].ticket, first);
@@ -111,7 +111,7 @@
     let grant = world.granted(0);
     world.step(done(grant.ticket, Verdict::Broken, true));
     assert_eq!(reasons(&world.ask(0).1), [Reason::EntryLimit]);
-    world.step(Event::Forget(grant.ticket));
+    world.step(Event::Cancel(grant.ticket));
     world.granted(0);
 }
 
--- a/crates/decide/tests/routing/runners.rs
+++ b/crates/decide/tests/routing/runners.rs
@@ -6,7 +6,7 @@
         Event,
         action::{Grant, Reason},
         catalog::Limits,
-        event::{Ask, Purpose, Verdict},
+        event::{Purpose, RunnerRequest, Verdict},
     },
     bilberryfront_wire::{
         instance::{InstanceList, InstanceState},
@@ -67,7 +67,7 @@
     world.wait(650);
     let probe = world.granted(0);
     assert_eq!(probe.runner, first.runner);
-    world.step(Event::Begun(probe.ticket));
+    world.step(Event::Started(probe.ticket));
     let sent = (0..6).map(|_| world.granted(0).runner).collect::<Vec<_>>();
     assert!(sent.contains(&probe.runner), "its load goes up with the other's");
 }
@@ -113,9 +113,9 @@
 fn silent_load_reports_make_a_suspect_and_a_report_clears_it() {
     let mut world = world(2);
     let runner = world.runner("r0");
-    world.step(Event::Silent { runner });
+    world.step(Event::LoadMissing { runner });
     assert!(got(&mut world, "r0", 20) > 0, "one missed report is no evidence");
-    world.step(Event::Silent { runner });
+    world.step(Event::LoadMissing { runner });
     world.wait(5_000);
     assert_eq!(got(&mut world, "r0", 20), 0, "no request is risked while it is silent");
     world.load("r0", report(0, 8));
@@ -178,18 +178,19 @@
     assert!(got(&mut world, "r0", 20) > 0, "and so does its word that it stays");
 }
 
-// Operators see a drained runner that was told to load a version and never serves again. 1. It reports
-// that it leaves. 2. The node stops asking for its load. 3. So it can't hear that the runner is back.
+// Operators see a drained runner that was told to load a version and never serves again. 1. It
+// reports that it leaves. 2. The node stops asking for its load. 3. So it can't hear that the
+// runner is back.
 #[test]
 fn a_runner_that_said_it_leaves_is_still_listened_to() {
     let mut world = world(2);
-    let watched = |w: &World| w.core.watched().any(|(_, r)| r.name == "r0");
+    let is_polled = |w: &World| w.core.polled().any(|(_, r)| r.name == "r0");
     world.load("r0", LoadReport { leaving: true, ..report(0, 8) });
-    assert!(watched(&world));
+    assert!(is_polled(&world));
     let mut list = ["r0", "r1"].map(|n| engine(n, "a", V1)).to_vec();
     list[0].state = InstanceState::Leaving;
     world.list(list);
-    assert!(!watched(&world), "the list's word is not the runner's to undo");
+    assert!(!is_polled(&world), "the list's word is not the runner's to undo");
 }
 
 #[test]
@@ -203,7 +204,7 @@
 #[test]
 fn a_version_that_no_runner_has_is_refused() {
     let mut world = world(1);
-    let ask = Ask { pin: Some("v9".into()), purpose: Purpose::Resume, ..world.draft(0) };
-    assert_eq!(reasons(&world.step(Event::Ask(ask))), [Reason::NoRunner]);
+    let ask = RunnerRequest { pin: Some("v9".into()), purpose: Purpose::Resume, ..world.draft(0) };
+    assert_eq!(reasons(&world.step(Event::Request(ask))), [Reason::NoRunner]);
     assert!(world.core.runners().all(|(_, r)| r.entry == ENTRY));
 }
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -16,7 +16,7 @@
     crate::view::Splits,
     bilberryfront_decide::{
         id::Incarnation,
-        mover::{Choice, PeerNews, Sample},
+        mover::{Choice, MoveUpdate, Sample},
     },
     compact_str::CompactString,
     std::{collections::BTreeMap, sync::Arc, time::Duration},
@@ -117,7 +117,7 @@
     }
 
     /// Applies a message from a peer.
-    pub fn handle_peer_update(&mut self, now: Instant, update: &PeerNews) {
+    pub fn handle_peer_update(&mut self, now: Instant, update: &MoveUpdate) {
         if let Some(rollout) = self.rollouts.get_mut(&update.entry) {
             rollout.handle_peer_update(now, update);
         }
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -7,10 +7,10 @@
         chart::Chart,
         id::Incarnation,
         mover::{
-            MoveId, PeerNews, Sample,
-            evidence::{Collector, Counts, Pool, TOLERANCE, Tally},
+            MoveId, MoveUpdate, Sample,
+            evidence::{Collector, Counts, PooledEvidence, TOLERANCE, Tally},
             standing::{Cause, Verdict},
-            verdict::Judge,
+            verdict::SequentialTest,
         },
     },
     compact_str::CompactString,
@@ -79,7 +79,7 @@
         expected: u64,
     },
     /// Send this message to all peers.
-    Broadcast(PeerNews),
+    Broadcast(MoveUpdate),
 }
 
 pub(super) struct Rollout {
@@ -91,9 +91,9 @@
     /// Revision of the stored status, with its phase if it belongs to this rollout.
     recorded: (u64, Option<Phase>),
     collector: Collector,
-    pool: Pool,
+    pool: PooledEvidence,
     routes: BTreeMap<CompactString, Counts>,
-    judge: Judge,
+    judge: SequentialTest,
     verdict: Option<Verdict>,
     /// Time at which the verdict was set.
     decided_at: Instant,
@@ -119,9 +119,9 @@
             phase: CHART.initial(),
             recorded: (0, None),
             collector: Collector::default(),
-            pool: Pool::default(),
+            pool: PooledEvidence::default(),
             routes: BTreeMap::new(),
-            judge: Judge::new(now, order.time),
+            judge: SequentialTest::new(now, order.time),
             verdict: None,
             decided_at: now,
             runners: 0,
@@ -166,12 +166,12 @@
         }
     }
 
-    pub(super) fn handle_peer_update(&mut self, now: Instant, update: &PeerNews) {
+    pub(super) fn handle_peer_update(&mut self, now: Instant, update: &MoveUpdate) {
         if update.id != self.id() {
             return;
         }
         if let Some(evidence) = &update.evidence {
-            self.pool.absorb(update.from, evidence);
+            self.pool.merge(update.from, evidence);
         }
         if let Some(verdict) = &update.verdict {
             self.roll_back(now, verdict.clone());
@@ -221,11 +221,11 @@
             return;
         }
         self.evaluate_at = now + EVALUATE_INTERVAL;
-        self.pool.absorb(self.me, self.collector.evidence());
-        if let Some(routes) = self.pool.news() {
+        self.pool.merge(self.me, self.collector.evidence());
+        if let Some(routes) = self.pool.take_changed() {
             self.routes = routes;
         }
-        let found = self.judge.look(now, &self.routes, nodes);
+        let found = self.judge.evaluate(now, &self.routes, nodes);
         if let Some(found) = found {
             let verdict = Verdict { cause: found.cause, route: found.route, node: self.me };
             return self.roll_back(now, verdict);
@@ -239,7 +239,7 @@
     /// Returns whether the new version has runners, is not suspect, and has finished at least
     /// `need` requests.
     fn is_healthy(&self, now: Instant, need: u32) -> bool {
-        let suspect = self.judge.suspects(now) && self.is_worse();
+        let suspect = self.judge.is_suspect(now) && self.is_worse();
         self.runners > 0 && !suspect && self.served() >= need
     }
 
@@ -260,7 +260,7 @@
         self.start + self.order.time.mul_f64(part)
     }
 
-    fn report(&mut self, now: Instant) -> Option<PeerNews> {
+    fn report(&mut self, now: Instant) -> Option<MoveUpdate> {
         let sequence = self.collector.evidence().sequence;
         let open = self.phase == Phase::Canary || !self.is_over();
         if now < self.report_at || !open || (sequence == self.reported && self.verdict.is_none()) {
@@ -269,7 +269,7 @@
         self.report_at = now + REPORT_INTERVAL;
         self.reported = sequence;
         self.sequence += 1;
-        Some(PeerNews {
+        Some(MoveUpdate {
             from: self.me,
             sequence: self.sequence,
             acks: Vec::new(),
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -68,7 +68,7 @@
     pub fn begun(&mut self) {
         if self.first.is_none() {
             self.first = Some(self.since.elapsed());
-            self.control.tell(Event::Begun(self.grant.ticket));
+            self.control.tell(Event::Started(self.grant.ticket));
         }
     }
 }
@@ -99,7 +99,7 @@
             verdict: self.verdict,
             first: self.first,
             tokens: self.tokens,
-            again: self.again,
+            will_retry: self.again,
         });
     }
 }
--- a/tests/catalogue_keys.rs
+++ b/tests/catalogue_keys.rs
@@ -9,7 +9,7 @@
         },
     },
     bilberryfront_decide::{
-        Core, Place,
+        Core, Location,
         catalog::{Catalog, CatalogDoc, Class, Entry, Kind, Limits},
     },
     std::sync::Arc,
@@ -38,7 +38,7 @@
         control.catalog(numbered);
     }
     drop(control);
-    drive(Core::new(1, Place::default()), receiver, published.clone()).await;
+    drive(Core::new(1, Location::default()), receiver, published.clone()).await;
     published.load()
 }
 
@@ -49,7 +49,7 @@
 async fn an_entry_keeps_its_key_over_two_quick_revisions() {
     let first = numbered(1, &["verify-llm"]);
     let second = numbered(2, &["redactor-lm", "verify-llm"]);
-    let before = Catalog::default().renew(1, &first.catalogue).entry("verify-llm");
+    let before = Catalog::default().updated(1, &first.catalogue).entry("verify-llm");
     let view = taken(vec![first, second]).await;
     assert_eq!(view.catalog.revision, 2);
     assert!(before.is_some());
