--- a/crates/relay/src/body.rs
+++ b/crates/relay/src/body.rs
@@ -14,18 +14,19 @@
     tokio::{sync::mpsc, task::AbortHandle},
 };
 
-/// Buffered events for a slow caller; beyond it, back-pressure reaches the runner.
+/// Number of events buffered for a slow caller; beyond it, the response of the runner is not read
+/// any further (backpressure).
 const BUFFERED_EVENTS: usize = 16;
 
 /// A response body.
 pub enum ResponseBody {
-    /// Buffered.
+    /// Complete in memory.
     Buffered(Option<Bytes>),
-    /// Streamed.
+    /// Produced while it is sent.
     Stream(Stream),
 }
 
-/// Reading end of a stream; dropping it aborts the task that fills it.
+/// Receiver of a streamed body; dropping it aborts the task that produces the body.
 pub struct Stream {
     events: mpsc::Receiver<Bytes>,
     ended: bool,
@@ -33,20 +34,20 @@
     complete: Rc<Cell<bool>>,
 }
 
-/// Writing end of a stream.
+/// Sender of a streamed body.
 pub struct BodySender {
     events: mpsc::Sender<Bytes>,
     complete: Rc<Cell<bool>>,
 }
 
-/// An aborted stream. Closes the connection without the final chunk, so that a truncated body does
-/// not look complete.
+/// Error of an aborted stream. The connection is closed without the final chunk, so that a
+/// truncated body is not taken for a complete one.
 #[derive(Clone, Copy, Debug)]
 pub struct Aborted;
 
 impl fmt::Display for Aborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the stream broke off")
+        f.write_str("the stream was aborted before its end")
     }
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// A body filled by `fill` while it is being read.
+/// Returns a body that the task `fill` produces while it is being sent.
 pub fn stream<F, W>(fill: F) -> ResponseBody
 where
     F: FnOnce(BodySender) -> W,
@@ -72,19 +73,19 @@
 }
 
 impl BodySender {
-    /// Sends an event; false if the reader is gone.
+    /// Sends an event; returns false if the caller has disconnected.
     pub async fn push(&self, bytes: Bytes) -> bool {
         self.events.send(bytes).await.is_ok()
     }
 
-    /// Ends the body as complete; dropping the sender aborts it.
+    /// Ends the body as complete. Dropping the sender without this call aborts the body.
     pub fn finish(self) {
         self.complete.set(true);
     }
 }
 
 impl ResponseBody {
-    /// Empty body.
+    /// Returns an empty body.
     pub fn empty() -> ResponseBody {
         ResponseBody::Buffered(None)
     }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! A decoded request.
+//! Decoded requests.
 
 use {
     crate::catalog::{Account, Route},
@@ -13,7 +13,7 @@
 /// Decoded request head.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// Attempt id, echoed in the response.
+    /// Attempt id, which is returned in the response.
     pub id: CompactString,
     /// Host without port.
     pub host: CompactString,
@@ -21,9 +21,9 @@
     pub timeout: Option<Duration>,
     /// API key.
     pub key: Option<CompactString>,
-    /// Last event id of an earlier response, for resumption.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub resume: Option<u64>,
-    /// Generation size; `None` for plain services.
+    /// Size of the generation; `None` for a plain service.
     pub size: Option<Size>,
     /// Hash of the prompt, for cache affinity.
     pub prompt: Option<u64>,
@@ -31,17 +31,17 @@
     pub headers: HeaderMap,
 }
 
-/// Generation size in tokens.
+/// Size of a generation in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt: u32,
-    /// Maximum output tokens.
+    /// Maximum number of output tokens.
     pub output: u32,
 }
 
 impl Size {
-    /// KV memory needed at the end of the generation, in tokens.
+    /// Returns the KV memory needed at the end of the generation, in tokens.
     pub fn total(self) -> u32 {
         self.prompt.saturating_add(self.output)
     }
@@ -62,7 +62,7 @@
     pub route: Arc<Route>,
     /// Account of the API key.
     pub account: Option<Arc<Account>>,
-    /// Arrival of the head.
+    /// Time at which the head arrived.
     pub start: Instant,
     /// Service selected by the route's weights.
     pub service: CompactString,
@@ -71,12 +71,13 @@
 }
 
 impl Call {
-    /// The caller's deadline.
+    /// Returns the caller's deadline.
     pub fn caller_deadline(&self) -> Option<Instant> {
         self.head.timeout.map(|p| self.start + p)
     }
 
-    /// Deadline of the final response: the caller's or the route's, whichever is earlier.
+    /// Returns the deadline of the final response: the caller's or the route's, whichever is
+    /// earlier.
     pub fn deadline(&self) -> Instant {
         let timeout = self.start + self.route.timeout;
         self.caller_deadline().map_or(timeout, |end| end.min(timeout))
--- a/crates/relay/src/catalog.rs
+++ b/crates/relay/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalogue: routes, services, accounts and limits.
+//! Catalogue: routes, services, accounts and limits.
 
 use {
     compact_str::CompactString,
@@ -6,10 +6,10 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// One version of the catalogue.
+/// A version of the catalogue.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// Increases with each change.
+    /// Version number; increases with each change.
     pub version: u64,
     /// Routes by host, longest prefix first.
     routes: FxHashMap<CompactString, Vec<Arc<Route>>>,
@@ -21,7 +21,7 @@
     pub limits: Limits,
 }
 
-/// A route: requests under one prefix of one host.
+/// Route for the requests below one path prefix of one host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Unique name.
@@ -32,15 +32,15 @@
     pub prefix: CompactString,
     /// Weighted targets; at least one.
     pub targets: Vec<Target>,
-    /// Semantics.
+    /// Retry semantics.
     pub kind: Kind,
-    /// Timeout of the final response.
+    /// Timeout of the complete response; for streams, of their start.
     pub timeout: Duration,
-    /// Latency objective; for streams, of the first event.
+    /// Objective for the latency of the response; for streams, of the first event.
     pub objective: Duration,
     /// Maximum gap between events of a stream.
     pub gap: Option<Duration>,
-    /// Maximum runners that may run a request.
+    /// Maximum number of runners that may run a request.
     pub attempts: u32,
     /// Priority; 0 is the highest.
     pub priority: u8,
@@ -48,7 +48,7 @@
     pub public: bool,
 }
 
-/// A weighted target of a route.
+/// Weighted target of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Service.
@@ -62,21 +62,21 @@
 pub enum Kind {
     /// May run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// Must not run more than once.
     Once,
     /// Stream that can be resumed on another runner.
     Resumable,
-    /// Stream that runs at most once.
+    /// Stream that must not run more than once.
     StreamOnce,
 }
 
 impl Kind {
-    /// Whether the response is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Kind::Resumable | Kind::StreamOnce)
     }
 
-    /// Whether it may be run again.
+    /// Returns whether the request may run again.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Kind::Idempotent | Kind::Resumable)
     }
@@ -87,7 +87,7 @@
 pub struct Service {
     /// Unique name.
     pub name: CompactString,
-    /// Connections per runner, over all nodes.
+    /// Maximum number of connections per runner, by all nodes together.
     pub connections: u32,
     /// Engine parameters; `None` for plain services.
     pub engine: Option<Engine>,
@@ -100,7 +100,7 @@
     pub slots: u32,
     /// KV memory in tokens.
     pub memory: u32,
-    /// Whether runs can be replicated while they grow.
+    /// Whether the KV cache of a run can be replicated while the run continues.
     pub replication: bool,
     /// Time to live of a replica after its last update.
     pub replica_ttl: Duration,
@@ -131,7 +131,7 @@
 }
 
 impl Default for Limits {
-    /// Limits before the first catalogue is loaded.
+    /// Returns the limits that apply before the first catalogue is loaded.
     fn default() -> Limits {
         Limits {
             head: 16 << 10,
@@ -152,7 +152,7 @@
 }
 
 impl Catalog {
-    /// Builds the lookup tables.
+    /// Creates a catalogue with its lookup tables.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -171,22 +171,23 @@
         Catalog { version, routes: by_host, services, accounts: accounts.map(by_key), limits }
     }
 
-    /// The route with the longest matching prefix.
+    /// Returns the route with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.get(host)?.iter().find(|r| path.starts_with(r.prefix.as_str()))
     }
 
-    /// The only service with these models and this memory, if unique.
+    /// Returns the service with one of these models and with this memory, if there is exactly one.
     pub fn sole_service(&self, models: &[CompactString], memory: u32) -> Option<&Arc<Service>> {
-        let fits = |engine: &Engine| {
+        let matches = |engine: &Engine| {
             engine.memory == memory && models.iter().any(|model| engine.models.contains(model))
         };
-        let mut fitting = self.services.values().filter(|s| s.engine.as_ref().is_some_and(fits));
-        let first = fitting.next()?;
-        fitting.next().is_none().then_some(first)
+        let mut matching =
+            self.services.values().filter(|s| s.engine.as_ref().is_some_and(matches));
+        let first = matching.next()?;
+        matching.next().is_none().then_some(first)
     }
 
-    /// Admits a request: its route and the account of its key.
+    /// Returns the route of a request and the account of its API key.
     pub fn admit(
         &self,
         host: &str,
@@ -194,29 +195,29 @@
         key: Option<&str>,
     ) -> Result<(Arc<Route>, Option<Arc<Account>>), Denied> {
         let route = self.route(host, path).ok_or(Denied::Route)?;
-        let holder = |keys: &FxHashMap<_, _>| key.and_then(|k| keys.get(k)).cloned();
+        let account_of = |keys: &FxHashMap<_, _>| key.and_then(|k| keys.get(k)).cloned();
         match &self.accounts {
-            Some(keys) if !route.public => match holder(keys) {
+            Some(keys) if !route.public => match account_of(keys) {
                 Some(account) => Ok((route.clone(), Some(account))),
                 None => Err(Denied::Key),
             },
-            Some(keys) => Ok((route.clone(), holder(keys))),
+            Some(keys) => Ok((route.clone(), account_of(keys))),
             None => Ok((route.clone(), None)),
         }
     }
 }
 
 fn by_key(accounts: Vec<(Account, Vec<CompactString>)>) -> FxHashMap<CompactString, Arc<Account>> {
-    let mut holders = FxHashMap::default();
+    let mut accounts_by_key = FxHashMap::default();
     for (account, keys) in accounts {
         let account = Arc::new(account);
-        holders.extend(keys.into_iter().map(|key| (key, account.clone())));
+        accounts_by_key.extend(keys.into_iter().map(|key| (key, account.clone())));
     }
-    holders
+    accounts_by_key
 }
 
 impl Route {
-    /// Selects the service; `draw` is uniform in 0..1.
+    /// Selects a service by weight; `draw` is uniformly distributed in 0..1.
     pub fn target(&self, draw: f64) -> &CompactString {
         let total: f64 = self.targets.iter().map(|t| f64::from(t.weight)).sum();
         let mut left = draw * total;
--- a/crates/relay/src/control/registry.rs
+++ b/crates/relay/src/control/registry.rs
@@ -86,7 +86,8 @@
         self.entries.retain(|id, entry| {
             let expired = matches!(entry.presence, Presence::Missing(until) if now >= until);
             if expired {
-                log::info!(runner = id.as_str(); "runner did not register again after the store outage: removed");
+                log::info!(runner = id.as_str();
+                    "runner did not register again after the store outage");
             }
             !expired
         });
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -7,54 +7,54 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Encodes and decodes message heads.
+/// Encoder and decoder of requests and responses.
 pub trait Dialect: Clone + 'static {
     /// Decodes a request head.
     fn parse_request(&self, parts: &request::Parts) -> Result<Head, Malformed>;
 
-    /// Headers of a request to a runner.
+    /// Encodes the headers of a request to a runner.
     fn request_headers(&self, call: &Call, options: &SendOptions) -> HeaderMap;
 
     /// Decodes a response head.
     fn parse_response(&self, parts: &response::Parts) -> ResponseHead;
 
-    /// Whether the headers carry a runner's signature.
+    /// Returns whether the headers carry a runner's signature.
     fn is_signed(&self, headers: &HeaderMap) -> bool;
 
-    /// Headers of a rejection by this node.
+    /// Encodes the headers of a rejection by this node.
     fn rejection_headers(&self, id: Option<&str>, retry: Option<Duration>) -> HeaderMap;
 
-    /// Decodes a query about this node; `query` is empty if absent.
+    /// Decodes a query about this node; `query` is empty if there is none.
     fn parse_query(&self, path: &str, query: &str) -> Option<Query>;
 
-    /// Content type and body of the response to [`Query::Addresses`].
+    /// Encodes the response to [`Query::Addresses`] as content type and body.
     fn addresses(&self, nodes: &[SocketAddr], ttl: Duration) -> (&'static str, Vec<u8>);
 
-    /// Path of a runner's load report.
+    /// Returns the path of a runner's load report.
     fn report_path(&self) -> &'static str;
 
-    /// Progress of request `id` in a load report.
+    /// Decodes the progress of the request `id` from a load report.
     fn progress(&self, body: &[u8], id: &str) -> Progress;
 
-    /// Path of the replication request.
+    /// Returns the path of the replication request.
     fn replicate_path(&self) -> &'static str;
 
-    /// Body of the replication request for run `id` to the runner at `to`.
+    /// Encodes the body of the request to replicate the run `id` to the runner at `to`.
     fn replicate_body(&self, id: &str, to: SocketAddr) -> Vec<u8>;
 
-    /// Path that drops the replica `handle` at both ends.
+    /// Returns the path of the request to drop the replica `handle` on its source and its holder.
     fn drop_replica_path(&self, handle: &str) -> String;
 
-    /// The handle in a replication response.
+    /// Decodes the handle of the replica from a replication response.
     fn replicated_handle(&self, body: &[u8]) -> Option<CompactString>;
 
-    /// The runner's identity in a load report; `None` if it is not an engine.
+    /// Decodes the runner's identity from a load report; `None` if the runner is not an engine.
     fn identity(&self, body: &[u8]) -> Option<Identity>;
 
-    /// Path of a runner's cache events.
+    /// Returns the path of a runner's cache events.
     fn cache_path(&self) -> &'static str;
 
-    /// Cached tokens of a prompt according to the cache events.
+    /// Decodes the number of a prompt's cached tokens from a runner's cache events.
     fn cached_tokens(&self, body: &[u8], prompt: u64) -> u32;
 }
 
@@ -62,32 +62,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Malformed {
-    /// Missing attempt id.
-    #[error("the request has no usable id")]
+    /// Missing or empty attempt id.
+    #[error("missing or empty attempt id")]
     Id,
     /// Missing host.
-    #[error("the request names no host")]
+    #[error("missing host")]
     Host,
     /// Invalid number.
-    #[error("a header that must be a number is none")]
+    #[error("invalid number in a header")]
     Number,
-    /// Both a length and chunked encoding.
-    #[error("the body's framing is ambiguous")]
+    /// Both a content length and a transfer encoding.
+    #[error("both Content-Length and Transfer-Encoding are present")]
     Framing,
 }
 
 /// Options of one send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SendOptions {
-    /// Expected runner id; any other runner rejects the request.
+    /// Id of the expected runner; any other runner rejects the request.
     pub runner: CompactString,
     /// Time left until the caller's deadline.
     pub left: Option<Duration>,
     /// Id of the last delivered event.
     pub resume: Option<u64>,
-    /// Runner to which the run is replicated.
+    /// Address of the runner to which the run is replicated.
     pub replica_to: Option<SocketAddr>,
-    /// Replica to resume from, on the runner that gets the request.
+    /// Replica on the receiving runner from which the run is resumed.
     pub from_replica: Option<ReplicaRef>,
     /// Number of earlier sends of the same request.
     pub earlier: u32,
@@ -109,19 +109,20 @@
     pub id: Option<CompactString>,
     /// Whether it carries a runner's signature.
     pub signed: bool,
-    /// Whether the request was not run and never will be.
+    /// Whether the request was not run and will not be run.
     pub not_run: bool,
-    /// Whether the address belongs to another runner now.
+    /// Whether the address now belongs to another runner.
     pub misdirected: bool,
-    /// Id of the responding runner, if stated.
+    /// Id of the responding runner, if it is given.
     pub runner: Option<CompactString>,
     /// Idle timeout of the connection.
     pub idle: Option<Duration>,
-    /// Requests per second that the runner accepts from all nodes together, while it advertises a limit.
+    /// Requests per second that the runner accepts from all nodes together, if it advertises a
+    /// limit.
     pub rate_limit: Option<f64>,
-    /// Whether the runner announces that it leaves.
+    /// Whether the runner announces that it is draining.
     pub draining: bool,
-    /// Time for which the runner wants no request of this node, in a rejection.
+    /// Time for which the runner rejects requests of this node, given in a rejection.
     pub retry_after: Option<Duration>,
 }
 
@@ -132,7 +133,7 @@
     Unknown,
     /// Queued or in prefill.
     Waiting,
-    /// Generated events.
+    /// Number of generated events.
     Made(u32),
 }
 
@@ -143,27 +144,27 @@
     pub models: Vec<CompactString>,
     /// KV memory in tokens.
     pub memory: u32,
-    /// Whether it is draining.
+    /// Whether the runner is draining.
     pub draining: bool,
 }
 
-/// A query about this node.
+/// Query about this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
     /// Readiness.
     Ready,
-    /// Addresses of ready nodes; holds the caller's failure domain.
+    /// Addresses of ready nodes, for a caller in this failure domain.
     Addresses(CompactString),
 }
 
 impl ResponseHead {
-    /// Whether the response belongs to request `id`.
+    /// Returns whether the response belongs to the request `id`.
     pub fn is_for(&self, id: &str) -> bool {
         self.id.as_deref() == Some(id)
     }
 }
 
-/// Whether a status guarantees that the request has not run and never will.
+/// Returns whether a status guarantees that the request was not run and will not be run.
 pub fn is_promise(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -7,26 +7,26 @@
 /// Prefix of the id field.
 const ID: &[u8] = b"id:";
 
-/// A complete event, including its final blank line.
+/// A complete event with its final blank line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Id; ids are consecutive.
+    /// Id of the event; ids are consecutive.
     pub id: Option<u64>,
-    /// Raw bytes.
+    /// Bytes of the event as received.
     pub bytes: Bytes,
 }
 
-/// An event is longer than [`EVENT_BYTES`].
+/// Error for an event that is longer than [`EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("an event is longer than {EVENT_BYTES} bytes")]
 pub struct TooLong;
 
-/// Splits a byte stream into events.
+/// Splitter of a byte stream into events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Start of the unsearched part.
+    /// Length of the buffer that has been searched for the end of the first event.
     searched: usize,
 }
 
@@ -36,10 +36,10 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next complete event.
+    /// Takes the next complete event, if there is one.
     pub fn take(&mut self) -> Result<Option<Event>, TooLong> {
         let Some(end) = self.end() else {
-            // The blank line may be split; it has at most four bytes.
+            // The end of the event may be split; it has at most four bytes.
             self.searched = self.buffer.len().saturating_sub(3);
             return if self.buffer.len() > EVENT_BYTES { Err(TooLong) } else { Ok(None) };
         };
@@ -48,12 +48,12 @@
         Ok(Some(Event { id: id(&bytes), bytes }))
     }
 
-    /// Whether the buffer ends within an event.
+    /// Returns whether the buffer contains an incomplete event.
     pub fn is_partial(&self) -> bool {
         self.buffer.has_remaining()
     }
 
-    /// Length of the first complete event.
+    /// Returns the length of the first complete event.
     fn end(&self) -> Option<usize> {
         let buffer = &self.buffer[..];
         (self.searched..buffer.len()).filter(|&i| buffer[i] == b'\n').find_map(|i| {
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -30,38 +30,38 @@
 pub const ADDRESSES_TTL: Duration = Duration::from_secs(1);
 /// Content type of the metrics.
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Maximum addresses in a response.
+/// Maximum number of addresses in a response.
 const MAX_ADDRESSES: usize = 64;
-/// Maximum time a request is held while the node loads the catalogue and the runners. After a full
-/// outage most callers have a single retry left, which would otherwise be rejected.
+/// Maximum time for which a request waits while the node loads the catalogue and the runners. After
+/// an outage of all nodes most callers have a single retry left, which would otherwise be rejected.
 const STARTING_WAIT: Duration = Duration::from_millis(300);
-/// Upper bound of that time as a share of the caller's timeout.
+/// Upper bound of [`STARTING_WAIT`] as a share of the caller's timeout.
 const STARTING_SHARE: f64 = 0.125;
-/// Poll interval meanwhile.
+/// Interval at which a waiting request checks whether the node has started.
 const STARTING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// `Retry-After` while the node is starting.
 const STARTING_RETRY: Duration = Duration::from_millis(500);
-/// `Retry-After` while the store is unavailable at start; long enough for a caller's few retries to
-/// outlast a short outage.
+/// `Retry-After` while the store is unavailable at the start; long enough that the few retries of a
+/// caller outlast a short outage.
 const CUT_OFF_RETRY: Duration = Duration::from_secs(2);
-/// `Retry-After` while draining: other nodes are available.
+/// `Retry-After` while draining; short, because other nodes are available.
 const DRAINING_RETRY: Duration = Duration::from_millis(20);
 
-/// Handler for callers' requests and queries. Clones share it.
+/// Handler of callers' requests and queries. Clones share their state.
 #[derive(Clone)]
 pub struct Handler<D, N> {
-    /// Request flows.
+    /// State of the request flows.
     pub traffic: Traffic<D, N>,
     /// Drain state.
     pub drain: Drain,
-    /// Signals a request that waits for the catalogue or the runners.
+    /// Notified when a request waits for the catalogue or the runners.
     pub demand: Arc<Notify>,
     /// Maximum time to live of an address response.
     pub max_addresses_ttl: Duration,
 }
 
 impl<D: Dialect, N: Network> Handler<D, N> {
-    /// Handles a request.
+    /// Handles a request of a caller.
     pub async fn handle_request(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let start = Instant::now();
         let _open = self.traffic.track_in_flight();
@@ -110,13 +110,13 @@
         self.traffic.published.load().catalog.is_some() && !self.drain.is_draining()
     }
 
-    /// Whether the node has loaded its state, or cannot load it now.
+    /// Returns whether the node has loaded the catalogue and the runners, or cannot load them now.
     fn has_started(&self) -> bool {
         let view = self.traffic.published.load();
         view.cut_off || (view.catalog.is_some() && self.traffic.client.fleet.is_loaded())
     }
 
-    /// Waits until the node has loaded its state, within limits.
+    /// Waits until the node has loaded the catalogue and the runners, up to [`STARTING_WAIT`].
     async fn wait_until_started(&self, parts: &Parts, start: Instant) {
         let timeout = self.dialect().parse_request(parts).ok().and_then(|head| head.timeout);
         let share = timeout.map_or(STARTING_WAIT, |timeout| timeout.mul_f64(STARTING_SHARE));
@@ -207,7 +207,7 @@
     }
 }
 
-/// An admitted request.
+/// Head of an admitted request, with its route.
 struct Admitted {
     head: Head,
     route: Arc<Route>,
--- a/crates/relay/src/headers.rs
+++ b/crates/relay/src/headers.rs
@@ -1,4 +1,4 @@
-//! Hop-by-hop headers (RFC 9110, 7.6.1).
+//! Removal of hop-by-hop headers (RFC 9110, 7.6.1).
 
 use http::{HeaderMap, HeaderName, header};
 
@@ -10,7 +10,7 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// Those without a constant in `http`.
+/// Hop-by-hop headers without a constant in the `http` crate.
 const HOP_BY_HOP_OTHERS: [&str; 2] = ["keep-alive", "proxy-connection"];
 
 /// Removes hop-by-hop headers, including those listed in `Connection`.
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,7 +1,7 @@
-//! The request path of bilberryfront: admits requests, selects runners and forwards the responses.
+//! Request path of bilberryfront: admits requests, selects runners and forwards their responses.
 //!
-//! Routes define the retry semantics. Wire formats of callers, runners and the store are behind the
-//! traits in [`dialect`], [`records`] and [`store`].
+//! The route of a request defines its retry semantics. The wire formats of callers, runners and the
+//! store are implemented through the traits in [`dialect`], [`records`] and [`store`].
 
 pub mod body;
 pub mod budget;
--- a/crates/relay/src/log_messages.rs
+++ b/crates/relay/src/log_messages.rs
@@ -1,20 +1,20 @@
-//! Log messages that `explain` parses.
+//! Log messages that the `explain` command parses.
 
-/// Rejected by this node; followed by the reason.
+/// Request rejected by this node; followed by the reason.
 pub const REFUSED: &str = "rejected: ";
-/// First event of a run.
+/// First event of a run received.
 pub const RUN_BEGUN: &str = "run started";
 /// Run lost; followed by the reason.
 pub const RUN_LOST: &str = "run lost: ";
-/// Last event forwarded.
+/// Last event of a stream forwarded.
 pub const STREAM_ENDED: &str = "stream completed";
-/// Stream truncated.
+/// Stream aborted before its end.
 pub const STREAM_BROKEN: &str = "stream aborted";
 /// Response lost; followed by the reason.
 pub const ANSWER_LOST: &str = "response lost: ";
-/// Rejected by a runner without being run.
+/// Request rejected by a runner without being run.
 pub const NOT_RUN: &str = "request rejected by the runner";
-/// Error response of a runner.
+/// Error response received from a runner.
 pub const RUN_FAILED: &str = "error response from the runner";
 /// Error response returned to the caller.
 pub const FAILURE_PASSED: &str = "error response returned to the caller";
@@ -22,20 +22,20 @@
 pub const IN_FORCE: &str = "catalogue applied";
 /// Process ready to accept connections.
 pub const SERVES: &str = "serving";
-/// Dependency available again.
+/// Store available again after an outage.
 pub const STORE_BACK: &str = "store available again";
-/// Registration removed.
+/// Registration of a runner removed.
 pub const RUNNER_GONE: &str = "runner removed";
 
-/// A runner advertises a rate limit, or another one.
+/// Runner advertises a new or changed rate limit.
 pub const RATE_LIMITED: &str = "the runner limits its rate of requests";
-/// A runner no longer advertises a rate limit.
+/// Runner no longer advertises a rate limit.
 pub const RATE_UNLIMITED: &str = "the runner no longer limits its rate of requests";
 
-/// A runner announces its drain in a response.
+/// Runner announces in a response that it is draining.
 pub const RUNNER_DRAINING: &str = "the runner announces that it leaves";
 
-/// All messages, to check that the operators' page covers them.
+/// All messages, for a test that the operators' page documents them.
 pub const ALL: [&str; 16] = [
     REFUSED,
     RUN_BEGUN,
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of an entry instance in OpenMetrics text format.
+//! Metrics of a node in OpenMetrics text format.
 
 mod volume;
 
@@ -16,7 +16,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Bucket bounds of the latency histograms, in seconds.
+/// Upper bounds of the latency histograms' buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.7, 1.0, 2.0, 4.5, 10.0, 25.0];
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelValue)]
 pub enum Outcome {
-    /// Success of a runner.
+    /// Successful response of a runner.
     Served,
     /// Error response of a runner.
     Failed,
@@ -86,7 +86,7 @@
     cause: Cause,
 }
 
-/// Whether a send is the first of its request.
+/// Whether a send is the first one of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelValue)]
 enum Send {
@@ -106,7 +106,7 @@
     from: Resume,
 }
 
-/// All metrics. Clones share them.
+/// All metrics. Clones share their values.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Arc<Registry>,
@@ -181,7 +181,7 @@
 }
 
 impl Metrics {
-    /// Counts a finished request; `latency` is the time to the response or first event.
+    /// Counts a finished request; `latency` is the time to the response or to the first event.
     pub fn count_request(&self, kind: Kind, outcome: Outcome, latency: Option<Duration>) {
         let kind = label(kind);
         self.ended.get_or_create(&RequestLabels { kind, outcome }).inc();
@@ -204,13 +204,14 @@
         self.refused.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    /// Counts a request sent to a runner that limits its rate, after `earlier` sends of it.
+    /// Counts a send to a runner that limits its rate; `earlier` is the number of earlier sends of
+    /// the same request.
     pub fn count_limited_send(&self, earlier: u32) {
         let send = if earlier == 0 { Send::First } else { Send::Repeat };
         self.limited.get_or_create(&SendLabels { send }).inc();
     }
 
-    /// Counts a stream resumed after `pause`.
+    /// Counts a lost stream that was resumed; `pause` is the time without events.
     pub fn count_resume(&self, from: Resume, pause: Duration) {
         self.resumed.get_or_create(&ResumeLabels { from }).inc();
         self.pause.get_or_create(&ResumeLabels { from }).observe(pause.as_secs_f64());
@@ -243,7 +244,7 @@
         self.runners.set(runners as i64);
     }
 
-    /// Encodes all metrics; `open` is the number of requests in flight.
+    /// Encodes all metrics as text; `open` is the number of requests in flight.
     pub fn encode(&self, open: usize) -> String {
         self.open.set(open as i64);
         let mut text = String::new();
--- a/crates/relay/src/metrics/volume.rs
+++ b/crates/relay/src/metrics/volume.rs
@@ -1,4 +1,4 @@
-//! Traffic counters: bytes to runners and peers, polls of the store.
+//! Traffic counters: bytes exchanged with runners and sent to peers, and polls of the store.
 
 use {
     bilberryfront_decide::member::PeerMessage,
@@ -33,7 +33,7 @@
     Store,
 }
 
-/// Outcome of a poll.
+/// Outcome of a poll of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelValue)]
 pub enum PollOutcome {
@@ -49,7 +49,7 @@
 #[derive(EncodeLabelSet)]
 struct RunnerBytes {
     part: Part,
-    /// Whether it crossed this node's failure domain.
+    /// Whether the runner is in another failure domain.
     border: bool,
 }
 
@@ -66,7 +66,7 @@
     outcome: PollOutcome,
 }
 
-/// Counters.
+/// All traffic counters. Clones share their values.
 #[derive(Clone, Default)]
 pub(super) struct Volume {
     runner_bytes: Family<RunnerBytes, Counter>,
--- a/crates/relay/src/network.rs
+++ b/crates/relay/src/network.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections.
+//! Transport for outgoing connections.
 
 use {
     socket2::{SockRef, TcpKeepalive},
@@ -10,14 +10,14 @@
     },
 };
 
-/// `TCP_USER_TIMEOUT`: detects a peer that is powered off or partitioned.
+/// `TCP_USER_TIMEOUT`, to detect a runner that is powered off or partitioned.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Keep-alive idle time and interval.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered keep-alive probes before the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Opens connections; tests substitute an in-memory transport.
+/// Transport that opens connections; tests replace it by an in-memory one.
 pub trait Network: Clone + 'static {
     /// Connection type.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
@@ -30,7 +30,7 @@
     ) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// TCP with dead-peer detection.
+/// TCP with detection of unreachable peers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -1,4 +1,4 @@
-//! An entry instance: the control thread, the traffic thread and the listeners.
+//! Process of a node: the control thread, the traffic thread and the listeners.
 
 use {
     crate::{
@@ -35,15 +35,15 @@
     },
 };
 
-/// A result with a [`NodeError`].
+/// Result with a [`NodeError`].
 pub type Result<T> = std::result::Result<T, NodeError>;
 
-/// Poll interval while waiting for requests in flight.
+/// Interval at which a draining node checks for requests in flight.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeout for sending the leave message.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Why an instance cannot run.
+/// Why a node cannot run.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum NodeError {
@@ -65,7 +65,7 @@
     },
 }
 
-/// Runs an instance until it has drained. `store` creates the store client on the control thread.
+/// Runs a node until it has drained. `store` creates the store client on the control thread.
 pub fn run<D, R, S>(
     settings: &Settings,
     dialect: D,
@@ -128,7 +128,7 @@
         ),
     )?;
     _ = end.send(());
-    // Always disconnects; nothing is sent.
+    // Nothing is sent; the channel disconnects when the control thread ends.
     _ = finished.recv_timeout(LEAVE_TIMEOUT);
     log::info!("stopped");
     Ok(())
@@ -194,7 +194,8 @@
     }
 }
 
-/// Waits until address responses have expired and the node is idle, or until the kill deadline.
+/// Waits until address responses have expired and the node is idle, at most until the kill
+/// deadline.
 async fn wait_drained<D: Dialect>(
     handler: &Handler<D, Tcp>,
     at: Instant,
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to runners.
+//! Connections to runners and their pools.
 
 use {
     crate::network::Network,
@@ -14,35 +14,36 @@
     tokio::{task::AbortHandle, time::Instant},
 };
 
-/// A result with a [`SendError`].
+/// Result with a [`SendError`].
 pub type Result<T> = std::result::Result<T, SendError>;
 
-/// Connect timeout; shorter than the retransmission of a lost SYN.
+/// Connect timeout; shorter than the retransmission timeout of a lost SYN packet.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle timeout assumed for runners that state none.
+/// Idle timeout assumed for runners that do not advertise one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Share of the runner's idle timeout after which a connection is no longer reused; a request sent
-/// while the runner closes it would be lost.
+/// Share of the runner's idle timeout after which a connection is no longer reused, since a request
+/// that is sent while the runner closes the connection is lost.
 const IDLE_SHARE: f64 = 0.6;
-/// Maximum idle connections per runner.
+/// Maximum number of idle connections per runner.
 const MAX_IDLE: usize = 16;
 
 /// Why a send got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum SendError {
-    /// Nothing was sent.
-    #[error("no connection could be made")]
+    /// No request was sent.
+    #[error("cannot connect")]
     Unsent,
-    /// Connection error after sending.
-    #[error("the connection broke before the answer")]
+    /// Connection error after the request was sent.
+    #[error("connection closed before the response was complete")]
     Broken,
-    /// Timeout after sending.
-    #[error("no answer in time")]
+    /// Timeout after the request was sent.
+    #[error("no response before the deadline")]
     Silent,
 }
 
-/// A connection carrying one request at a time; dropping it closes it and cancels the request.
+/// HTTP/1 connection for one request at a time; dropping it closes the connection and cancels the
+/// request.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -57,7 +58,7 @@
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| SendError::Unsent)?;
         let run = async move {
-            // Errors surface on the request or on the next use.
+            // Errors are reported by the request or by the next use of the connection.
             _ = connection.await;
         };
         Ok(Connection { sender, task: tokio::task::spawn_local(run).abort_handle() })
@@ -85,7 +86,8 @@
 }
 
 impl Drop for Connection {
-    /// Aborts the task: hyper would otherwise finish writing to a runner that does not read.
+    /// Aborts the connection's task. Otherwise hyper would continue to write to a runner that does
+    /// not read.
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -114,7 +116,7 @@
         None
     }
 
-    /// Returns a connection; `limit` is the runner's idle timeout.
+    /// Adds an idle connection; `limit` is the runner's idle timeout.
     pub fn put(&mut self, now: Instant, connection: Connection, limit: Option<Duration>) {
         self.idle.retain(|i| now < i.until);
         if self.idle.len() < MAX_IDLE {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Closes all.
+    /// Closes all idle connections.
     pub fn clear(&mut self) {
         self.idle.clear();
     }
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -1,4 +1,4 @@
-//! Decoding of rows written by operators and runners.
+//! Encoding and decoding of rows in the store.
 
 use {
     crate::{
@@ -10,9 +10,9 @@
     compact_str::CompactString,
 };
 
-/// Decodes and encodes rows.
+/// Encoder and decoder of rows.
 pub trait Records: Clone + 'static {
-    /// Table of the operators' rows.
+    /// Table of the operators' rows: the catalogue and rollout orders.
     const ORDERS: &'static str;
     /// Key of the catalogue.
     const CATALOG: &'static str;
@@ -38,7 +38,7 @@
     fn encode_status(&self, record: &RolloutStatus) -> (CompactString, Bytes);
 }
 
-/// An invalid row.
+/// Error for an invalid row; holds the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("{0}")]
--- a/crates/relay/src/runner_client/restart.rs
+++ b/crates/relay/src/runner_client/restart.rs
@@ -36,7 +36,7 @@
     let is_same = is_same(&client.published.load(), &service, &identity);
     if !is_same {
         log::info!(runner = id.as_str(), former = endpoint.id.as_str(), draining = identity.draining;
-            "unlisted runner at a known address: draining or not identified as an engine of the service");
+            "unlisted runner at a known address: draining or of unknown service");
     }
     client.fleet.record_restart(Restart { former: endpoint.id, id: is_same.then_some(id) });
 }
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -1,4 +1,4 @@
-//! Listeners and caller connections.
+//! Listeners and their connections.
 
 use {
     crate::{
@@ -17,16 +17,16 @@
     },
 };
 
-/// Listen backlog; beyond it SYN packets are dropped and retransmitted after a second.
+/// Listen backlog; beyond it, SYN packets are dropped, and callers retransmit them after a second.
 const BACKLOG: i32 = 1_024;
-/// `TCP_USER_TIMEOUT` and keep-alive time of caller connections.
+/// `TCP_USER_TIMEOUT` and keep-alive idle time of connections from callers.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Delay after a failed accept, mostly for lack of descriptors.
+/// Delay after a failed accept, which mostly fails for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Minimum buffer size accepted by hyper.
+/// Minimum buffer size that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// What a listener serves.
+/// Kind of requests that a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// Callers' requests.
@@ -47,7 +47,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Accepts connections until cancelled; `close` closes idle ones.
+/// Accepts and serves connections until cancelled; a change of `close` closes idle ones.
 pub async fn serve<D: Dialect, N: Network>(
     listener: TcpListener,
     purpose: Purpose,
@@ -61,7 +61,7 @@
                     let serving = serve_connection(stream, purpose, handler.clone(), close.clone());
                     _ = tokio::task::spawn_local(serving);
                 }
-                // The caller is gone already.
+                // The caller has already disconnected.
                 Err(error) => log::debug!("cannot configure a connection: {error}"),
             },
             Err(error) => {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Serves a connection; `close` closes it once it is idle.
+/// Serves a connection; a change of `close` closes it once it is idle.
 pub async fn serve_connection<D: Dialect, N: Network>(
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
     purpose: Purpose,
@@ -91,7 +91,7 @@
     tokio::pin!(serving);
     loop {
         tokio::select! {
-            // Errors are the caller's.
+            // Errors are caused by the caller.
             _ = serving.as_mut() => return,
             changed = close.changed() => match changed {
                 Ok(()) => serving.as_mut().graceful_shutdown(),
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry instance.
+//! Settings of a node.
 
 use {
     crate::{budget::Allowance, rollouts::exposure::Bound},
@@ -20,10 +20,10 @@
     pub listen: Listen,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Whether the whole system starts for the first time, so that all nodes start at once.
+    /// Whether the whole system starts for the first time, with all nodes at the same time.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Limits set by the platform.
+    /// Limits that the platform requires.
     #[serde(default)]
     pub bounds: Bounds,
     /// Logging.
@@ -49,14 +49,14 @@
     pub metrics: Option<SocketAddr>,
 }
 
-/// Limits set by the platform; times in seconds.
+/// Limits that the platform requires; times are in seconds unless the name has another unit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
     /// Grace period from SIGTERM to the kill.
     pub grace: f64,
-    /// Time within which a draining runner must get no new requests, in milliseconds.
+    /// Time within which new requests to a draining runner must stop, in milliseconds.
     pub leave_ms: f64,
     /// Maximum time to live of an address response.
     pub keep: f64,
@@ -66,14 +66,14 @@
     pub slack: f64,
     /// Window of the retry budget.
     pub window: f64,
-    /// Share of requests for a version during its rollout.
+    /// Maximum share of the requests for a new version during its rollout.
     pub exposure: f64,
-    /// Additional requests for it.
+    /// Additional requests for the new version.
     pub trials: f64,
 }
 
 impl Default for Bounds {
-    /// Conservative values for a platform without limits of its own.
+    /// Returns conservative values, for a platform without requirements.
     fn default() -> Bounds {
         Bounds {
             grace: 5.0,
@@ -104,27 +104,27 @@
 }
 
 impl Bounds {
-    /// Grace period from SIGTERM to the kill.
+    /// Returns the grace period from SIGTERM to the kill.
     pub fn grace(&self) -> Duration {
         seconds(self.grace)
     }
 
-    /// Time within which a draining runner must get no new requests.
+    /// Returns the time within which new requests to a draining runner must stop.
     pub fn leave(&self) -> Duration {
         seconds(self.leave_ms / 1_000.0)
     }
 
-    /// Maximum time to live of an address response.
+    /// Returns the maximum time to live of an address response.
     pub fn keep(&self) -> Duration {
         seconds(self.keep)
     }
 
-    /// Bound on a version during its rollout.
+    /// Returns the bound on the requests of a new version during its rollout.
     pub fn exposure(&self) -> Bound {
         Bound { share: self.exposure, slack: self.trials }
     }
 
-    /// Retry budget.
+    /// Returns the bound on retries.
     pub fn allowance(&self) -> Allowance {
         Allowance { ratio: self.ratio, slack: self.slack, window: seconds(self.window) }
     }
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -1,14 +1,14 @@
-//! Interface of the platform's store: versioned rows and a change feed.
+//! Interface to the platform's store of versioned rows with a change feed.
 
 use {bytes::Bytes, compact_str::CompactString, std::time::Duration};
 
-/// A result with a [`StoreError`].
+/// Result with a [`StoreError`].
 pub type Result<T> = std::result::Result<T, StoreError>;
 
-/// Revision of a row or of the newest transaction seen by a response.
+/// Revision of a row, or of the newest transaction covered by a response.
 pub type Revision = u64;
 
-/// A row or a tombstone.
+/// Row or tombstone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// Key.
@@ -19,10 +19,10 @@
     pub revision: Revision,
 }
 
-/// Rows and the revision up to which they are complete.
+/// Rows with the revision up to which they are complete.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rows {
-    /// By key for a read, by revision for a feed.
+    /// Rows, ordered by key for a read and by revision for a feed.
     pub rows: Vec<Row>,
     /// Revision of the snapshot.
     pub revision: Revision,
@@ -32,21 +32,21 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum StoreError {
-    /// Rejected; nothing was done.
+    /// Call rejected without any effect.
     #[error("the store is unavailable: {0}")]
     Unavailable(CompactString),
-    /// No response; a write may have been applied or may be applied later.
+    /// No response; a write may have been applied, or may be applied later.
     #[error("the store's response was lost: {0}")]
     Lost(CompactString),
-    /// The requested history is no longer available.
-    #[error("the store has dropped that part of its history")]
+    /// The requested part of the history is no longer available.
+    #[error("the store no longer has the requested part of its history")]
     Compacted,
-    /// A precondition failed.
-    #[error("another write came first")]
+    /// The expected revision of a write did not match.
+    #[error("the row was changed by another write")]
     Conflict,
 }
 
-/// A conditional write; `expected` is the current revision, 0 for none, `None` for any.
+/// Conditional write of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// Table.
@@ -55,16 +55,16 @@
     pub key: CompactString,
     /// New content; `None` deletes the row.
     pub value: Option<Bytes>,
-    /// Expected revision.
+    /// Expected current revision: 0 if there must be no row, `None` for any.
     pub expected: Option<Revision>,
 }
 
-/// The store. Every call ends within the client's timeout.
+/// Client of the store. Every call ends within the client's timeout.
 pub trait Store: Clone + 'static {
     /// Reads a table.
     fn read(&self, table: &str) -> impl Future<Output = Result<Rows>>;
 
-    /// Long-polls for rows changed after `after`.
+    /// Waits up to `wait` for rows that have changed after the revision `after` (long poll).
     fn feed(
         &self,
         table: &str,
--- a/crates/relay/src/view.rs
+++ b/crates/relay/src/view.rs
@@ -1,4 +1,4 @@
-//! The view published by the control thread.
+//! View of the control state, published by the control thread.
 
 use {
     crate::{catalog::Catalog, fanout::Scope},
@@ -10,10 +10,10 @@
     tokio::sync::watch,
 };
 
-/// A registered runner.
+/// Registration of a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// Runner id; a restart may keep it.
+    /// Runner id, which may stay the same after a restart.
     pub id: CompactString,
     /// Start time in milliseconds since the Unix epoch; identifies the incarnation.
     pub born: u64,
@@ -25,20 +25,20 @@
     pub domain: CompactString,
     /// Software version.
     pub version: CompactString,
-    /// Concurrent requests.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// State.
     pub state: State,
-    /// Inferred from a restart rather than registered; `born` is a guess.
+    /// Whether the registration was inferred from a restart; `born` is then an estimate.
     pub assumed: bool,
 }
 
 /// State of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Accepts requests.
+    /// The runner accepts requests.
     Ready,
-    /// Draining.
+    /// The runner accepts no new requests and will exit.
     Draining,
 }
 
@@ -59,7 +59,7 @@
 /// Split of a service's requests during a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split {
-    /// Rollout.
+    /// Id of the rollout.
     pub id: MoveId,
     /// New version.
     pub to: CompactString,
@@ -67,40 +67,40 @@
     pub rule: Rule,
 }
 
-/// Share of the new version.
+/// Share of the requests that the new version gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Bounded.
+    /// A bounded share.
     Canary,
-    /// Everything.
+    /// All requests.
     OnlyNew,
-    /// Nothing.
+    /// No requests.
     OnlyOld,
 }
 
 /// Splits by service.
 pub type Splits = Arc<FxHashMap<CompactString, Split>>;
 
-/// Immutable snapshot of the control state.
+/// Snapshot of the control state.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Catalogue; `None` before the first one.
+    /// Catalogue; `None` before the first one is loaded.
     pub catalog: Option<Arc<Catalog>>,
     /// Registered runners.
     pub runners: Arc<Vec<Registration>>,
-    /// Whether a runner list was ever loaded.
+    /// Whether a list of runners has been loaded.
     pub listed: bool,
-    /// Nodes for address responses, this one included.
+    /// Nodes listed in address responses, including this one.
     pub nodes: Arc<Vec<NodeAddress>>,
-    /// Which loads peers report.
+    /// Runners whose load peers report to this node.
     pub scope: Scope,
     /// Splits of services with a rollout.
     pub splits: Splits,
-    /// Whether the last poll of the store failed.
+    /// Whether the store is known to be unavailable.
     pub cut_off: bool,
 }
 
-/// The current view with change notification.
+/// Current view with change notification.
 #[derive(Clone)]
 pub struct Published {
     view: Arc<ArcSwap<View>>,
@@ -114,7 +114,7 @@
 }
 
 impl Published {
-    /// The current view.
+    /// Returns the current view.
     pub fn load(&self) -> Arc<View> {
         self.view.load_full()
     }
@@ -125,7 +125,7 @@
         self.signal.send_replace(());
     }
 
-    /// Subscribes to later views.
+    /// Subscribes to changes of the view.
     pub fn watch(&self) -> watch::Receiver<()> {
         self.signal.subscribe()
     }
