--- a/crates/relay/tests/feed.rs
+++ b/crates/relay/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Watching tables of the store through outages.
+//! Watching tables of the store during outages.
 
 use {
     bilberryfront_relay::{
@@ -14,17 +14,17 @@
     },
 };
 
-/// A store that swallows every request while it is silent. Both tables hold one row.
+/// A store that does not respond while it is silent. Both tables have one row.
 #[derive(Clone, Default)]
-struct Silent(Rc<State>);
+struct SilentStore(Rc<SilentState>);
 
 #[derive(Default)]
-struct State {
+struct SilentState {
     silent: Cell<bool>,
     revision: Cell<Revision>,
 }
 
-impl Silent {
+impl SilentStore {
     fn rows(&self) -> Rows {
         let revision = self.0.revision.get();
         let row = Row { key: "k".into(), value: None, revision };
@@ -32,21 +32,21 @@
     }
 }
 
-impl Store for Silent {
+impl Store for SilentStore {
     async fn read(&self, _: &str) -> Result<Rows> {
         Ok(self.rows())
     }
 
     async fn feed(&self, _: &str, after: Revision, wait: Duration) -> Result<Rows> {
-        let asked = Instant::now();
+        let start = Instant::now();
         if self.0.silent.get() {
             sleep(wait + Duration::from_millis(1_500)).await;
             return Err(StoreError::Lost("no answer in time".into()));
         }
-        while asked.elapsed() < wait && self.0.revision.get() <= after {
+        while start.elapsed() < wait && self.0.revision.get() <= after {
             sleep(Duration::from_millis(10)).await;
             if self.0.silent.get() {
-                // The connection delivers nothing further, whatever becomes of the store.
+                // The connection delivers no response, even if the store becomes available again.
                 sleep(wait + Duration::from_millis(1_500)).await;
                 return Err(StoreError::Lost("no answer in time".into()));
             }
@@ -59,12 +59,13 @@
     }
 }
 
-/// Guards against an outdated catalogue after a silent outage that swallowed a long poll.
+/// Guards against an outdated catalogue after an outage in which a long poll was lost without an
+/// error.
 #[tokio::test(start_paused = true)]
-async fn a_poll_that_an_outage_swallowed_is_repeated() {
+async fn poll_lost_in_an_outage_is_repeated() {
     LocalSet::new()
         .run_until(async {
-            let store = Silent::default();
+            let store = SilentStore::default();
             let recoveries = watch::Sender::new(0);
             let active = watch::Sender::new(true);
             let (sender, mut events) = mpsc::channel(64);
@@ -88,7 +89,7 @@
             sleep(Duration::from_secs(4)).await;
             store.0.silent.set(false);
             store.0.revision.set(7);
-            let back = Instant::now();
+            let recovered_at = Instant::now();
             let orders = async {
                 loop {
                     match events.recv().await.unwrap() {
@@ -102,24 +103,28 @@
                 }
             };
             timeout(Duration::from_secs(30), orders).await.unwrap();
-            assert!(back.elapsed() < Duration::from_millis(1_500), "{:?}", back.elapsed());
+            assert!(
+                recovered_at.elapsed() < Duration::from_millis(1_500),
+                "{:?}",
+                recovered_at.elapsed()
+            );
         })
         .await;
 }
 
-/// A store that rejects requests while it is down, and counts them.
+/// A store that counts requests and rejects them while it is down.
 #[derive(Clone, Default)]
-struct Refusing(Rc<Refusals>);
+struct RejectingStore(Rc<RejectingState>);
 
 #[derive(Default)]
-struct Refusals {
+struct RejectingState {
     down: Cell<bool>,
-    asked: Cell<u32>,
+    calls: Cell<u32>,
 }
 
-impl Refusing {
+impl RejectingStore {
     fn rows(&self) -> Result<Rows> {
-        self.0.asked.set(self.0.asked.get() + 1);
+        self.0.calls.set(self.0.calls.get() + 1);
         match self.0.down.get() {
             true => Err(StoreError::Unavailable("down".into())),
             false => Ok(Rows { rows: Vec::new(), revision: 1 }),
@@ -127,7 +132,7 @@
     }
 }
 
-impl Store for Refusing {
+impl Store for RejectingStore {
     async fn read(&self, _: &str) -> Result<Rows> {
         self.rows()
     }
@@ -143,12 +148,13 @@
     }
 }
 
-/// Load: an outage of eight seconds; one watcher probes for its end, the others wait for the result.
+/// Load: an outage of eight seconds. One watcher polls often to detect its end, the others poll
+/// rarely and are notified.
 #[tokio::test(start_paused = true)]
 async fn one_watcher_detects_the_end_of_an_outage_for_all() {
     LocalSet::new()
         .run_until(async {
-            let store = Refusing::default();
+            let store = RejectingStore::default();
             let recoveries = watch::Sender::new(0);
             let active = watch::Sender::new(true);
             let (sender, mut events) = mpsc::channel(64);
@@ -174,20 +180,20 @@
             sleep(Duration::from_millis(100)).await;
             store.0.down.set(true);
             sleep(Duration::from_secs(1)).await;
-            store.0.asked.set(0);
+            store.0.calls.set(0);
             sleep(Duration::from_secs(8)).await;
-            let asked = store.0.asked.get();
-            assert!((8..=36).contains(&asked), "{asked} questions");
+            let calls = store.0.calls.get();
+            assert!((8..=36).contains(&calls), "{calls} polls");
             store.0.down.set(false);
-            let back = Instant::now();
-            let mut up = BTreeSet::new();
-            while up.len() < 4 {
+            let recovered_at = Instant::now();
+            let mut recovered = BTreeSet::new();
+            while recovered.len() < 4 {
                 let FeedEvent { table, change } = events.recv().await.unwrap();
                 if matches!(change, Change::Available) {
-                    up.insert(table);
+                    recovered.insert(table);
                 }
             }
-            assert!(back.elapsed() <= PROBE_BACKOFF_MAX, "{:?}", back.elapsed());
+            assert!(recovered_at.elapsed() <= PROBE_BACKOFF_MAX, "{:?}", recovered_at.elapsed());
         })
         .await;
 }
--- a/crates/relay/tests/fleet.rs
+++ b/crates/relay/tests/fleet.rs
@@ -57,31 +57,31 @@
 /// A prompt of 5,000 tokens.
 const PROMPT: Load = Load { running: 1, memory: 5_600, unread: 5_000 };
 
-/// Load: callers return at once, and six nodes send eighteen prompts within milliseconds. Guards against
-/// a runner with two prompts while another one is idle.
+/// Load: callers reconnect at the same time, and six nodes send eighteen prompts within
+/// milliseconds. Guards against sending two prompts to one runner while another one is idle.
 #[tokio::test(start_paused = true)]
-async fn nodes_that_tell_their_loads_never_stack_prompts() {
+async fn nodes_that_report_loads_use_all_runners() {
     let nodes: Vec<Fleet> = (0..6).map(|_| fleet(6)).collect();
-    let mut taken = BTreeMap::<_, u32>::new();
+    let mut used = BTreeMap::<_, u32>::new();
     let mut leases = Vec::new();
     for prompt in 0..18 {
         let node = &nodes[prompt as usize % 6];
-        let place = node.choose(&criteria(Some(prompt))).unwrap();
-        *taken.entry(place.id.clone()).or_default() += 1;
-        leases.push(node.lease(place, PROMPT));
-        let take_update = node.take_update();
+        let endpoint = node.choose(&criteria(Some(prompt))).unwrap();
+        *used.entry(endpoint.id.clone()).or_default() += 1;
+        leases.push(node.lease(endpoint, PROMPT));
+        let update = node.take_update();
         let from = format!("node{}", prompt % 6).into();
         nodes
             .iter()
             .filter(|n| !std::ptr::eq(*n, node))
-            .for_each(|n| n.apply_peer_load(&from, &take_update));
+            .for_each(|n| n.apply_peer_load(&from, &update));
     }
-    assert_eq!(taken.len(), 18, "{taken:?}");
+    assert_eq!(used.len(), 18, "{used:?}");
 }
 
-/// Guards against loads of a crashed node that are counted for ever.
+/// Guards against counting the loads of a crashed node without limit of time.
 #[tokio::test(start_paused = true)]
-async fn a_silent_nodes_loads_are_forgotten() {
+async fn loads_of_a_silent_node_expire() {
     let fleet = fleet(1);
     let load = |runner: &str| RunnerLoad {
         runner: runner.into(),
@@ -97,20 +97,21 @@
     assert!(chosen.iter().any(|id| id != "r2"));
 }
 
-/// Guards against a resumed stream whose cached prompt another node does not find.
+/// Guards against a resumed stream whose cached prompt is not found by another node.
 #[tokio::test(start_paused = true)]
-async fn a_prompt_has_the_same_homes_everywhere() {
+async fn all_nodes_prefer_the_same_runners_for_a_prompt() {
     let nodes = [Fleet::seeded(7), Fleet::seeded(8)];
     nodes.iter().for_each(|n| n.update(&runners(20)));
     let mut preferred = BTreeMap::<_, u32>::new();
     for prompt in 0..180 {
-        let asked = |n: &Fleet| n.preferred(&criteria(Some(prompt))).into_iter().map(|p| p.id);
-        let [one, other] = nodes.each_ref().map(|n| asked(n).collect::<Vec<_>>());
+        let preferred_ids =
+            |n: &Fleet| n.preferred(&criteria(Some(prompt))).into_iter().map(|p| p.id);
+        let [one, other] = nodes.each_ref().map(|n| preferred_ids(n).collect::<Vec<_>>());
         assert_eq!(one, other);
-        assert!(one.len() < 30, "{} of 60 are asked", one.len());
+        assert!(one.len() < 30, "{} of 60 are preferred", one.len());
         for node in &nodes {
             let chosen = node.choose(&criteria(Some(prompt))).unwrap().id;
-            assert!(one.contains(&chosen), "{chosen} is none of {one:?}");
+            assert!(one.contains(&chosen), "{chosen} is not in {one:?}");
         }
         one.into_iter().for_each(|id| *preferred.entry(id).or_default() += 1);
     }
@@ -118,60 +119,66 @@
     assert!(preferred.values().all(|n| (40..=104).contains(n)), "{preferred:?}");
 }
 
-/// Load: a runner's memory fills with replicas. Guards against preempted runs while others have room.
+/// Load: the memory of runners fills with replicas. Guards against preempted runs while other
+/// runners have free memory.
 #[tokio::test(start_paused = true)]
-async fn a_home_whose_memory_is_short_is_passed_over() {
+async fn preferred_runners_without_free_memory_are_avoided() {
     let fleet = fleet(10);
     let preferred = fleet.preferred(&criteria(Some(7)));
-    let is_home = |place: &Endpoint| preferred.iter().any(|home| home.id == place.id);
-    let copy = Load { running: 0, memory: 5_600, unread: 0 };
+    let is_preferred =
+        |endpoint: &Endpoint| preferred.iter().any(|runner| runner.id == endpoint.id);
+    let replica = Load { running: 0, memory: 5_600, unread: 0 };
     let mut leases = Vec::new();
     for _ in 0..7 {
-        let copies = preferred.iter().map(|home| fleet.lease(home.clone(), copy));
-        leases.push(copies.collect::<Vec<_>>());
+        let replicas = preferred.iter().map(|runner| fleet.lease(runner.clone(), replica));
+        leases.push(replicas.collect::<Vec<_>>());
     }
-    assert!((0..50).all(|_| !is_home(&fleet.choose(&criteria(Some(7))).unwrap())));
+    assert!((0..50).all(|_| !is_preferred(&fleet.choose(&criteria(Some(7))).unwrap())));
     leases.truncate(1);
-    assert!((0..50).all(|_| is_home(&fleet.choose(&criteria(Some(7))).unwrap())));
+    assert!((0..50).all(|_| is_preferred(&fleet.choose(&criteria(Some(7))).unwrap())));
 }
 
-/// Load: streams run on some of a prompt's preferred runners. Guards against slowing them while a preferred
-/// runner is free.
+/// Load: streams run on some of a prompt's preferred runners. Guards against slowing down these
+/// streams while a preferred runner is idle.
 #[tokio::test(start_paused = true)]
-async fn a_prompt_goes_to_a_home_without_streams() {
+async fn preferred_runners_without_streams_are_selected_first() {
     let fleet = fleet(6);
     let stream = Load { running: 1, memory: 5_600, unread: 0 };
     let mut leases = Vec::new();
     let mut preferred = Vec::new();
     for _ in 0..4 {
-        let place = fleet.choose(&criteria(Some(7))).unwrap();
-        assert!(!preferred.contains(&place.id), "{preferred:?}");
-        preferred.push(place.id.clone());
-        leases.push(fleet.lease(place, stream));
+        let endpoint = fleet.choose(&criteria(Some(7))).unwrap();
+        assert!(!preferred.contains(&endpoint.id), "{preferred:?}");
+        preferred.push(endpoint.id.clone());
+        leases.push(fleet.lease(endpoint, stream));
     }
-    let asked: Vec<_> = fleet.preferred(&criteria(Some(7))).into_iter().map(|p| p.id).collect();
-    assert!(preferred.iter().all(|id| asked.contains(id)), "{preferred:?} of {asked:?}");
+    let preferred_ids: Vec<_> =
+        fleet.preferred(&criteria(Some(7))).into_iter().map(|p| p.id).collect();
+    assert!(
+        preferred.iter().all(|id| preferred_ids.contains(id)),
+        "{preferred:?} of {preferred_ids:?}"
+    );
 }
 
-/// Guards against trying each runner of a crashed failure domain in turn.
+/// Guards against trying all runners of a crashed failure domain one after the other.
 #[tokio::test(start_paused = true)]
-async fn two_failures_cast_doubt_on_their_domain() {
+async fn two_failures_make_their_domain_suspect() {
     let fleet = fleet(4);
     let keys: Vec<_> = (0..4).map(|i| find(&fleet, &format!("r{i}"))).collect();
     fleet.record_failure(keys[0], Instant::now());
-    assert!(!fleet.is_ejected(keys[2]), "one failure is one runner's");
+    assert!(!fleet.is_ejected(keys[2]), "one failure affects one runner only");
     fleet.record_failure(keys[1], Instant::now());
     assert!(fleet.is_ejected(keys[2]) && fleet.is_ejected(keys[3]));
     fleet.record_response(keys[3], Instant::now());
     assert!(!fleet.is_ejected(keys[3]));
     for _ in 0..50 {
-        let place = fleet.choose(&criteria(None)).unwrap();
-        assert!(place.domain != "a" || place.key == keys[3]);
+        let endpoint = fleet.choose(&criteria(None)).unwrap();
+        assert!(endpoint.domain != "a" || endpoint.key == keys[3]);
     }
 }
 
-/// Load: a domain's engines are back after a crash, but the store, which lists their new ids, is
-/// silent. A rejection by the successor of one engine must not eject the others.
+/// Load: the engines of a domain have restarted after a crash, but the store does not respond, so
+/// their new ids are unknown. A rejection by a restarted engine must not eject the others.
 #[tokio::test(start_paused = true)]
 async fn restarted_runners_do_not_make_their_domain_suspect() {
     let fleet = fleet(6);
@@ -194,10 +201,10 @@
     assert!(!fleet.is_ejected(find(&fleet, "r3")));
 }
 
-/// Load: a domain crashes while single runners of another one fail. A replica there is used although
-/// its holder is suspect, but not one on a runner that has failed or drains.
+/// Load: a domain crashes while single runners of another one fail. A replica on a suspect runner
+/// is used, but not one on a runner that has failed or is draining.
 #[tokio::test(start_paused = true)]
-async fn a_replica_on_a_suspect_runner_is_used() {
+async fn replica_on_a_suspect_runner_is_used() {
     let fleet = Fleet::seeded(7);
     let mut listed = runners(6);
     listed[3].state = State::Draining;
@@ -209,50 +216,53 @@
     assert!(!fleet.is_available(key(3)));
 }
 
-/// Guards against a peer with a broken link that ejects runners which respond to this node.
+/// Guards against ejecting runners that respond to this node because a peer with a broken link
+/// reports them as failed.
 #[tokio::test(start_paused = true)]
-async fn another_nodes_failures_count_unless_contradicted() {
+async fn failures_reported_by_a_peer_count_unless_the_runner_responds() {
     let fleet = fleet(2);
-    let [dead, living] = [find(&fleet, "r0"), find(&fleet, "r2")];
-    fleet.record_response(living, Instant::now());
+    let [silent, responding] = [find(&fleet, "r0"), find(&fleet, "r2")];
+    fleet.record_response(responding, Instant::now());
     let failed = vec!["r0".into(), "r2".into()];
     fleet.apply_peer_load(&"other".into(), &message::Load { failed, ..message::Load::default() });
-    assert!(fleet.is_ejected(dead));
-    assert!(!fleet.is_ejected(living));
+    assert!(fleet.is_ejected(silent));
+    assert!(!fleet.is_ejected(responding));
 }
 
-/// Guards against replicas on runners that are still down, as a lost replica shows only when it is needed.
+/// Guards against placing replicas on runners that are still down, since the loss of a replica is
+/// noticed only when it is needed.
 #[tokio::test(start_paused = true)]
-async fn copies_go_only_to_runners_that_were_steady() {
+async fn replicas_avoid_recently_failed_runners() {
     let fleet = fleet(1);
-    let dead = find(&fleet, "r1");
-    fleet.record_failure(dead, Instant::now());
+    let failed = find(&fleet, "r1");
+    fleet.record_failure(failed, Instant::now());
     advance(Duration::from_millis(1_500)).await;
-    assert!(!fleet.is_ejected(dead));
+    assert!(!fleet.is_ejected(failed));
     let stable = Criteria { stable: true, ..criteria(None) };
-    assert!((0..50).all(|_| fleet.choose(&stable).unwrap().key != dead));
+    assert!((0..50).all(|_| fleet.choose(&stable).unwrap().key != failed));
     advance(Duration::from_secs(2)).await;
-    assert!((0..50).any(|_| fleet.choose(&stable).unwrap().key == dead));
+    assert!((0..50).any(|_| fleet.choose(&stable).unwrap().key == failed));
 }
 
-/// Load: one failure domain after the other crashes. Guards against a replica beside its run, in the
-/// domain that crashes next.
+/// Load: failure domains crash one after the other. Guards against a replica in the same domain as
+/// its run, which may crash next.
 #[tokio::test(start_paused = true)]
-async fn a_copy_leaves_its_domain_even_for_a_runner_that_was_down() {
+async fn replica_is_placed_in_another_domain_even_on_an_unstable_runner() {
     let fleet = Fleet::seeded(7);
     fleet.update(&runners(2)[..4]);
-    let copy = Criteria { avoid_domain: Some("a"), stable: true, ..criteria(None) };
+    let replica = Criteria { avoid_domain: Some("a"), stable: true, ..criteria(None) };
     for id in ["r2", "r3"] {
         fleet.record_failure(find(&fleet, id), Instant::now());
     }
-    assert_eq!(fleet.choose(&copy).unwrap().domain, "a", "the others are down");
+    assert_eq!(fleet.choose(&replica).unwrap().domain, "a", "all others are ejected");
     advance(Duration::from_millis(1_500)).await;
-    assert_eq!(fleet.choose(&copy).unwrap().domain, "b");
+    assert_eq!(fleet.choose(&replica).unwrap().domain, "b");
 }
 
-/// Guards against failures and loads of the former incarnation of a runner that restarts under its id.
+/// Guards against applying failures and loads of a former incarnation to a runner that has
+/// restarted with the same id.
 #[tokio::test(start_paused = true)]
-async fn a_new_life_starts_clean() {
+async fn new_incarnation_starts_without_failures_and_load() {
     let fleet = fleet(1);
     let old = find(&fleet, "r0");
     fleet.record_failure(old, Instant::now());
@@ -271,7 +281,7 @@
     fleet.find(id).expect("the runner is listed").key
 }
 
-/// The runners that a node chooses from, of `fleet(1)`.
+/// Returns the ids of the runners that a node selects in 50 attempts.
 fn chosen(fleet: &Fleet) -> Vec<String> {
     let mut ids: Vec<String> =
         (0..50).map(|_| fleet.choose(&criteria(None)).unwrap().id.to_string()).collect();
@@ -280,39 +290,40 @@
     ids
 }
 
-/// Guards against requests of nodes that a leaving runner has not answered since its announcement.
+/// Guards against requests to a draining runner by nodes that have received no response from it
+/// since its announcement.
 #[tokio::test(start_paused = true)]
-async fn peers_learn_that_a_runner_leaves() {
+async fn peers_learn_that_a_runner_drains() {
     let nodes = [fleet(1), fleet(1), fleet(1)];
     nodes[0].set_draining(nodes[0].find("r0").unwrap().key);
     nodes[1].apply_peer_load(&"n0".into(), &nodes[0].take_update());
     assert_eq!(chosen(&nodes[1]), ["r1", "r2"]);
     assert!(nodes[0].take_update().draining.is_empty());
-    // The third missed the report and gets the repeated one.
+    // The third node missed the report and receives the repeated one.
     nodes[2].apply_peer_load(&"n0".into(), &nodes[0].snapshot());
     assert_eq!(chosen(&nodes[2]), ["r1", "r2"]);
-    assert!(nodes[2].snapshot().draining.is_empty(), "a report is not reported again");
+    assert!(nodes[2].snapshot().draining.is_empty(), "reports of peers are not repeated");
 }
 
-/// Guards against an announcement that outlives its incarnation, or that a report about the former one
-/// extends to the next.
+/// Guards against applying an announcement, or a peer's report of it, to the next incarnation of
+/// the runner.
 #[tokio::test(start_paused = true)]
-async fn a_restarted_runner_is_used_again_after_a_drain() {
+async fn restarted_runner_is_used_again_after_a_drain() {
     let node = fleet(1);
     node.set_draining(node.find("r0").unwrap().key);
     let report = node.take_update();
     let mut list = runners(1);
     node.update(&list);
-    assert_eq!(chosen(&node), ["r1", "r2"], "an older list does not undo it");
+    assert_eq!(chosen(&node), ["r1", "r2"], "an older list does not revoke the announcement");
     list[0].born = 2;
     node.update(&list);
     node.apply_peer_load(&"n1".into(), &report);
     assert_eq!(chosen(&node), ["r0", "r1", "r2"]);
 }
 
-/// Guards against a request that was chosen before the announcement and is sent after it.
+/// Guards against sending a request to a runner that was selected before its announcement.
 #[tokio::test(start_paused = true)]
-async fn a_waiting_request_is_not_sent_to_a_leaving_runner() {
+async fn selected_runner_gets_no_request_after_its_drain_notice() {
     let node = fleet(1);
     let endpoint = node.choose(&criteria(None)).unwrap();
     assert!(node.admit(endpoint.key));
--- a/crates/relay/tests/large_fleet.rs
+++ b/crates/relay/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Choosing runners in a large system: 60 nodes and 102 engines in each of five domains, where nodes
-//! know the loads of their own group only.
+//! Selection of runners in a large system: 60 nodes and 102 engines in each of five domains, where
+//! nodes know the loads of their own group only.
 
 use {
     bilberryfront_relay::{
@@ -17,9 +17,9 @@
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
 const ENGINES: u8 = 102;
 const MEMORY: u32 = 55_000;
-/// Streams that begin in one domain in a second.
+/// Streams started per second in one domain.
 const RATE: f64 = 24.0;
-/// Time in which an engine reads a prompt, and in which a stream ends.
+/// Time to prefill a prompt, and duration of a stream.
 const PREFILL: Duration = Duration::from_secs(1);
 const STREAM: Duration = Duration::from_secs(5);
 const PROMPT: Load = Load { running: 1, memory: 5_650, unread: 5_000 };
@@ -59,10 +59,10 @@
     node: usize,
     start: Instant,
     lease: Lease,
-    read: bool,
+    prefilled: bool,
 }
 
-/// The nodes of domain `a`, which report their loads to each other.
+/// Nodes of domain `a`, which report their loads to each other.
 struct Domain {
     nodes: Vec<Fleet>,
     scopes: Vec<Scope>,
@@ -86,26 +86,27 @@
         Domain { nodes, scopes, streams: Vec::new(), random: SmallRng::seed_from_u64(7) }
     }
 
-    /// Begins a stream at some node; where, and whether another prompt was being read there.
-    fn begin(&mut self) -> (Endpoint, bool) {
+    /// Starts a stream on a random node; returns its runner, and whether another prompt was being
+    /// prefilled there.
+    fn start_stream(&mut self) -> (Endpoint, bool) {
         let node = self.random.random_range(0..NODES);
         let prompt = self.random.random();
         let endpoint = self.nodes[node].choose(&criteria(prompt)).unwrap();
-        let same = |s: &&Stream| !s.read && s.lease.endpoint.id == endpoint.id;
-        let meets = self.streams.iter().any(|s| same(&s));
+        let same = |s: &&Stream| !s.prefilled && s.lease.endpoint.id == endpoint.id;
+        let is_queued = self.streams.iter().any(|s| same(&s));
         let lease = self.nodes[node].lease(endpoint.clone(), PROMPT);
-        self.streams.push(Stream { node, start: Instant::now(), lease, read: false });
+        self.streams.push(Stream { node, start: Instant::now(), lease, prefilled: false });
         self.report(node);
-        (endpoint, meets)
+        (endpoint, is_queued)
     }
 
-    /// Ends what is due.
+    /// Ends prefills and streams that are due.
     fn step(&mut self) {
         let now = Instant::now();
         let mut changed = Vec::new();
         for stream in &mut self.streams {
-            if !stream.read && now >= stream.start + PREFILL {
-                stream.read = true;
+            if !stream.prefilled && now >= stream.start + PREFILL {
+                stream.prefilled = true;
                 stream.lease.mark_prefilled();
                 changed.push(stream.node);
             }
@@ -129,34 +130,34 @@
         let end = Instant::now() + time;
         while Instant::now() < end {
             self.step();
-            let (endpoint, meets) = self.begin();
-            each(endpoint, meets);
+            let (endpoint, is_queued) = self.start_stream();
+            each(endpoint, is_queued);
             advance(Duration::from_secs_f64(1.0 / RATE)).await;
         }
     }
 }
 
-/// Load: each node begins a stream every two seconds, so it chooses by what the others report. No
-/// prompt waits behind another one, and streams stay in their domain.
+/// Load: each node starts a stream every 2.5 s, so the selection depends on the reports of the
+/// others. Prompts are not queued behind others, and streams stay in their domain.
 #[tokio::test(start_paused = true)]
 async fn prompts_do_not_queue_in_a_large_domain() {
     let mut domain = Domain::new();
-    let (mut all, mut met, mut far) = (0, 0, 0);
+    let (mut all, mut queued, mut remote) = (0, 0, 0);
     domain
-        .run(Duration::from_secs(12), |endpoint, meets| {
+        .run(Duration::from_secs(12), |endpoint, is_queued| {
             all += 1;
-            met += u32::from(meets);
-            far += u32::from(endpoint.domain != "a");
+            queued += u32::from(is_queued);
+            remote += u32::from(endpoint.domain != "a");
         })
         .await;
-    assert!(met * 100 <= all, "{met} of {all} met another prompt");
-    assert!(far * 50 <= all, "{far} of {all} left the domain");
+    assert!(queued * 100 <= all, "{queued} of {all} prompts were queued behind another one");
+    assert!(remote * 50 <= all, "{remote} of {all} streams left the domain");
 }
 
-/// Load: nine engines in ten of a domain crash. Its streams spread over the other domains, whose
-/// loads are unknown, and do not pile up on the survivors.
+/// Load: nine of ten engines of a domain crash. Its streams are spread over the other domains,
+/// whose loads are unknown, and do not accumulate on the remaining engines.
 #[tokio::test(start_paused = true)]
-async fn streams_leave_a_crashed_domain() {
+async fn streams_move_from_a_crashed_domain_to_others() {
     let mut domain = Domain::new();
     domain.run(Duration::from_secs(6), |_, _| {}).await;
     let crashed = |id: &str| id.starts_with("a-") && !id.ends_with('7');
@@ -167,20 +168,21 @@
     }
     domain.streams.retain(|s| !crashed(&s.lease.endpoint.id));
     (0..NODES).for_each(|node| domain.report(node));
-    let mut far = 0;
+    let mut remote = 0;
     domain
-        .run(Duration::from_millis(700), |endpoint, _| far += u32::from(endpoint.domain != "a"))
+        .run(Duration::from_millis(700), |endpoint, _| remote += u32::from(endpoint.domain != "a"))
         .await;
     let survivors = domain.streams.iter().filter(|s| s.lease.endpoint.domain == "a");
     let mut loads = std::collections::BTreeMap::<_, u32>::new();
     survivors.for_each(|s| *loads.entry(s.lease.endpoint.id.clone()).or_default() += 1);
-    assert!(far >= 4, "{far} left the domain");
+    assert!(remote >= 4, "{remote} streams left the domain");
     assert!(loads.values().all(|n| *n <= 4), "{loads:?}");
 }
 
-/// Load: every node reports its streams. The number of receivers does not grow with the system.
+/// Load: every node reports its streams. The number of receivers does not depend on the size of the
+/// system.
 #[test]
-fn groups_bound_the_receivers_of_a_report() {
+fn group_size_limits_the_receivers_of_a_report() {
     for (domains, size) in [(5, 60), (9, 122), (9, 500)] {
         for node in 0..size {
             let scope = Scope::new(&name(node), domains * size, size);
@@ -191,10 +193,10 @@
     assert_eq!(Scope::new("node-0", 89, 30), Scope::System);
 }
 
-/// Load: some of a domain's engines lose responses. The others are not suspect, and streams stay;
-/// the crash of a whole domain is noticed after a few attempts.
+/// Load: some engines of a domain lose responses. The others are not suspect, and streams stay in
+/// the domain; the crash of the whole domain is detected after a few attempts.
 #[tokio::test(start_paused = true)]
-async fn a_large_domain_is_suspect_only_after_several_failures() {
+async fn large_domain_is_suspect_only_after_several_failures() {
     let domain = Domain::new();
     let node = &domain.nodes[0];
     let engine = |index: u8| node.find(&format!("a-{index}")).unwrap().key;
--- a/crates/relay/tests/parts.rs
+++ b/crates/relay/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The smaller parts: events, the retry budget, routes, leaving.
+//! Event parsing, retry budgets, routes and draining.
 
 use {
     bilberryfront_decide::member::message::BudgetUse,
@@ -15,25 +15,27 @@
 
 const SEED: u64 = 7;
 
-/// Runs a property on the same cases every time.
+/// Checks a property on cases from a fixed seed.
 fn check<A: quickcheck::Testable>(property: A) {
     QuickCheck::new().rng(Gen::from_size_and_seed(60, SEED)).quickcheck(property);
 }
 
-/// Whatever a runner sends and however it is cut on the way, the events that come out are the bytes
-/// that went in, and each ends with an empty line.
+/// For any input in any fragmentation, the events contain the received bytes in order, and each of
+/// them ends with an empty line.
 #[test]
-fn events_are_the_bytes_that_came() {
+fn events_contain_the_received_bytes() {
     #[expect(clippy::needless_pass_by_value, reason = "the property's signature is the library's")]
-    fn property(words: Vec<u8>, cuts: Vec<u8>) -> bool {
-        let signs = [b"\n".as_slice(), b"\r\n", b"id: 1", b"data: x", b"\n\n", b":"];
-        let text: Vec<u8> =
-            words.iter().flat_map(|w| signs[usize::from(*w) % signs.len()].to_vec()).collect();
+    fn property(choices: Vec<u8>, cuts: Vec<u8>) -> bool {
+        let fragments = [b"\n".as_slice(), b"\r\n", b"id: 1", b"data: x", b"\n\n", b":"];
+        let text: Vec<u8> = choices
+            .iter()
+            .flat_map(|w| fragments[usize::from(*w) % fragments.len()].to_vec())
+            .collect();
         let mut splitter = Splitter::default();
         let mut rest = &text[..];
         let mut events = Vec::new();
-        for cut in cuts.iter().map(|c| usize::from(*c) % 5).chain([usize::MAX]) {
-            let (part, left) = rest.split_at(cut.min(rest.len()));
+        for isolated in cuts.iter().map(|c| usize::from(*c) % 5).chain([usize::MAX]) {
+            let (part, left) = rest.split_at(isolated.min(rest.len()));
             splitter.push(part);
             rest = left;
             while let Ok(Some(Event { bytes, .. })) = splitter.take() {
@@ -46,9 +48,9 @@
     check(property as fn(Vec<u8>, Vec<u8>) -> bool);
 }
 
-/// An event's id is read wherever its field stands; an event without one is still an event.
+/// The id is parsed at any position of its field; events without a valid id are accepted.
 #[test]
-fn ids_are_read() {
+fn event_ids_are_parsed() {
     let mut splitter = Splitter::default();
     splitter.push(b"weights: 2\nid: 41\ndata: a\n\ndata: b\n\nid: x\n\nid");
     let ids: Vec<Option<u64>> =
@@ -57,9 +59,9 @@
     assert!(splitter.is_partial());
 }
 
-/// A runner that never ends an event can't fill the memory.
+/// Guards against unbounded memory use by a runner that never ends an event.
 #[test]
-fn an_endless_event_is_an_error() {
+fn too_long_event_is_an_error() {
     let mut splitter = Splitter::default();
     splitter.push(&vec![b'x'; (1 << 20) + 1]);
     assert!(splitter.take().is_err());
@@ -69,22 +71,22 @@
     Allowance { ratio: 0.8, slack: 150.0, window: Duration::from_secs(10) };
 const SERVICE: &str = "llm";
 
-/// Nodes with a budget each, which report to each other unless they are cut off.
+/// Nodes with one budget each, which report to each other unless they are isolated.
 struct Nodes {
     budgets: Vec<Budgets>,
     reports: VecDeque<(Instant, usize, Vec<BudgetUse>)>,
-    cut: Vec<bool>,
-    /// Requests and retries.
+    isolated: Vec<bool>,
+    /// Requests and retries; true for a retry.
     log: Vec<(Instant, bool)>,
 }
 
 impl Nodes {
-    /// Time that a report takes.
+    /// Delay of a report.
     const DELAY: Duration = Duration::from_millis(5);
 
     fn new(count: usize) -> Nodes {
         let budgets = (0..count).map(|_| Budgets::new(ALLOWANCE)).collect();
-        Nodes { budgets, reports: VecDeque::new(), cut: vec![false; count], log: Vec::new() }
+        Nodes { budgets, reports: VecDeque::new(), isolated: vec![false; count], log: Vec::new() }
     }
 
     fn request(&mut self, node: usize) {
@@ -92,7 +94,7 @@
         self.log.push((Instant::now(), false));
     }
 
-    /// Takes a retry as one of `system` nodes.
+    /// Takes a retry, as one of `system` nodes.
     fn take(&mut self, node: usize, system: usize) -> bool {
         let taken = self.budgets[node].try_take(SERVICE, system);
         if taken {
@@ -113,14 +115,15 @@
         let now = Instant::now();
         while self.reports.front().is_some_and(|(at, ..)| now >= *at) {
             let (_, from, update) = self.reports.pop_front().expect("there is a report");
-            let reached = |to: &usize| *to != from && !self.cut[from] && !self.cut[*to];
-            for to in (0..self.budgets.len()).filter(reached) {
+            let is_connected =
+                |to: &usize| *to != from && !self.isolated[from] && !self.isolated[*to];
+            for to in (0..self.budgets.len()).filter(is_connected) {
                 self.budgets[to].apply(&format!("n{from}").into(), &update);
             }
         }
     }
 
-    /// Checks the global bound in every window.
+    /// Checks the global bound in all windows.
     fn check(&self) {
         let Allowance { ratio, slack, window } = ALLOWANCE;
         for (start, _) in &self.log {
@@ -134,10 +137,10 @@
     }
 }
 
-/// Load: everything fails and every request asks for retries, in any rhythm, while some nodes are cut
-/// off from the others for a time.
+/// Load: all requests fail and are retried, in bursts and pauses, while some nodes are isolated
+/// from the others for some time.
 #[tokio::test(start_paused = true)]
-async fn the_retry_budget_holds_in_every_window() {
+async fn retry_budget_holds_in_every_window() {
     const NODES: usize = 6;
     let mut nodes = Nodes::new(NODES);
     for step in 0_usize..4_000 {
@@ -148,18 +151,18 @@
         if step.is_multiple_of(50) {
             nodes.refresh();
         }
-        nodes.cut = (0..NODES).map(|n| n < 2 && (1_000..2_000).contains(&step)).collect();
+        nodes.isolated = (0..NODES).map(|n| n < 2 && (1_000..2_000).contains(&step)).collect();
         nodes.deliver();
         nodes.take(node, NODES);
         advance(Duration::from_millis(if step % 400 < 300 { 3 } else { 40 })).await;
     }
     let retries = nodes.log.iter().filter(|(_, retry)| *retry).count();
-    assert!(retries > 300, "a budget that gives nothing serves nobody: {retries}");
+    assert!(retries > 300, "the budget allows too few retries: {retries}");
     nodes.check();
 }
 
-/// Load: 295 nodes with a stream every two seconds each. A failure domain crashes, and each of a
-/// group's twenty nodes resumes its two or three streams at once.
+/// Load: 295 nodes, each of which starts a stream every two seconds. A failure domain crashes, and
+/// each of the twenty nodes of a group resumes two streams at the same time.
 #[tokio::test(start_paused = true)]
 async fn nodes_with_few_requests_share_their_retry_budgets() {
     const GROUP: usize = 20;
@@ -180,10 +183,13 @@
         nodes.deliver();
     }
     assert_eq!(resumed, 2 * GROUP);
-    let alone = Budgets::new(ALLOWANCE);
-    (0..5).for_each(|_| alone.count_request(SERVICE));
-    let alone = (0..10).filter(|_| alone.try_take(SERVICE, SYSTEM)).count();
-    assert!(alone <= 3, "{alone} retries of a node that hears of nobody");
+    let isolated_budgets = Budgets::new(ALLOWANCE);
+    (0..5).for_each(|_| isolated_budgets.count_request(SERVICE));
+    let isolated_budgets = (0..10).filter(|_| isolated_budgets.try_take(SERVICE, SYSTEM)).count();
+    assert!(
+        isolated_budgets <= 3,
+        "{isolated_budgets} retries of a node without reports from peers"
+    );
 }
 
 fn route(prefix: &str, public: bool, targets: &[(&str, u32)]) -> Route {
@@ -204,8 +210,8 @@
     }
 }
 
-/// The longest prefix wins, whole path segments only since prefixes end with a slash; keys are asked
-/// for except on public routes.
+/// The route with the longest prefix is selected, by whole path segments since prefixes end with a
+/// slash. A key is required except on public routes.
 #[test]
 fn requests_are_admitted_by_prefix_and_key() {
     let routes = vec![
@@ -228,25 +234,28 @@
     assert_eq!(catalog.admit("other", "/", None).unwrap_err(), Denied::Route);
 }
 
-/// A split's parts are its weights', whatever is drawn.
+/// Each target gets the share of the drawn values that its weight defines.
 #[test]
-fn splits_follow_their_weights() {
+fn targets_are_selected_by_weight() {
     let route = route("/", true, &[("a", 90), ("b", 10), ("c", 0)]);
     let count =
         |name: &str| (0..1_000).filter(|i| route.target(f64::from(*i) / 1_000.0) == name).count();
     assert_eq!((count("a"), count("b"), count("c")), (900, 100, 0));
 }
 
-/// The order to leave comes twice: the grace runs from the first. Streams that may outlast it aren't
-/// begun once a quarter of it is over.
+/// The drain is started twice: the grace period runs from the first start. Streams that may outlast
+/// it are rejected once a quarter of it has passed.
 #[tokio::test(start_paused = true)]
-async fn a_leaving_node_takes_no_stream_that_it_would_cut() {
+async fn draining_node_rejects_streams_that_outlast_the_grace_period() {
     let drain = Drain::new(Duration::from_secs(8));
     let long = Duration::from_secs(20);
     assert!(!drain.outlives_grace(Instant::now() + long));
     drain.start();
     let at = drain.started().await;
-    assert!(!drain.outlives_grace(Instant::now() + long), "callers may not know yet");
+    assert!(
+        !drain.outlives_grace(Instant::now() + long),
+        "callers may still use older address responses"
+    );
     advance(Duration::from_secs(3)).await;
     drain.start();
     assert_eq!(drain.started().await, at);
--- a/crates/relay/tests/rate_limit.rs
+++ b/crates/relay/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits of runners shared by many nodes, without network.
+//! Rate limits of runners that are shared by many nodes, simulated without a network.
 
 use {
     bilberryfront_decide::member::message::{Load, RateLimit},
@@ -23,16 +23,16 @@
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 /// Requests per second of each node.
 const DEMAND: f64 = 2.4;
-/// Time that a runner takes.
-const WORK: Duration = Duration::from_millis(30);
-/// Time after a runner first states a limit from which the limit holds.
+/// Time in which a runner processes a request.
+const SERVICE_TIME: Duration = Duration::from_millis(30);
+/// Time after a runner's first response with a limit, from which the limit has to hold.
 const SPREAD: Duration = Duration::from_secs(3);
-/// Time after a node first has a response with the limit from which its requests count.
+/// Time after a node's first response with the limit, from which its requests are counted.
 const REACTION: Duration = Duration::from_millis(500);
 /// Window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// What happens at a time.
+/// Scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Request(usize),
@@ -45,12 +45,12 @@
     Refresh(usize),
 }
 
-/// A runner: the limit that it states and the requests that it got.
+/// A runner with the limit that it advertises and the requests that it received.
 #[derive(Default)]
 struct Runner {
     limit: Option<f64>,
     first: Option<Instant>,
-    /// When nodes first had a response with a limit.
+    /// Time of each node's first response with a limit.
     informed: BTreeMap<usize, Instant>,
     arrivals: Vec<(Instant, usize)>,
 }
@@ -58,8 +58,8 @@
 /// Nodes, runners, and messages between nodes.
 struct System {
     nodes: Vec<Fleet>,
-    /// Nodes that are up.
-    up: Vec<bool>,
+    /// Whether each node is running.
+    running: Vec<bool>,
     runners: Vec<Runner>,
     events: BinaryHeap<Reverse<(Instant, Event)>>,
     messages: Vec<(usize, usize, Rc<Load>)>,
@@ -118,7 +118,7 @@
         });
         let mut system = System {
             nodes: fleets.collect(),
-            up: vec![true; nodes],
+            running: vec![true; nodes],
             runners: (0..runners).map(|_| Runner::default()).collect(),
             events: BinaryHeap::new(),
             messages: Vec::new(),
@@ -136,9 +136,9 @@
         system
     }
 
-    /// Informs the nodes that are up of each other.
+    /// Publishes the list of the running nodes to all nodes.
     fn publish_nodes(&self) {
-        let list = (0..self.nodes.len()).filter(|node| self.up[*node]).map(address);
+        let list = (0..self.nodes.len()).filter(|node| self.running[*node]).map(address);
         let list = Arc::new(list.collect());
         let nodes = self.nodes.iter().enumerate();
         nodes.for_each(|(node, fleet)| fleet.set_nodes(&name(node), &list));
@@ -174,7 +174,7 @@
             Event::Request(node) => {
                 let gap = self.gap();
                 self.schedule(gap, Event::Request(node));
-                if self.up[node] {
+                if self.running[node] {
                     self.request(node);
                 }
             }
@@ -215,7 +215,7 @@
         self.served += 1;
         let runner: usize = endpoint.id[1..].parse().unwrap();
         self.runners[runner].arrivals.push((Instant::now(), node));
-        self.schedule(WORK, Event::Response { node, runner });
+        self.schedule(SERVICE_TIME, Event::Response { node, runner });
     }
 
     fn send(&mut self, from: usize, load: Load) {
@@ -233,8 +233,9 @@
         }
     }
 
-    /// The most counted requests of a runner in a window that ends after `after`.
-    fn most(&self, runner: usize, after: Instant) -> usize {
+    /// Returns the maximum number of counted requests of a runner in a window that ends after
+    /// `after`.
+    fn max_requests(&self, runner: usize, after: Instant) -> usize {
         let Runner { informed, arrivals, first, .. } = &self.runners[runner];
         let Some(first) = first else { return 0 };
         let is_counted = |(at, node): &&(Instant, usize)| {
@@ -251,14 +252,17 @@
     fn assert_limits(&self, limit: f64, after: Instant, case: &str) {
         let allowed = 1.5 * limit * WINDOW.as_secs_f64() + 5.0;
         for runner in 0..self.runners.len() {
-            let most = self.most(runner, after);
+            let max_requests = self.max_requests(runner, after);
             let is_limited = self.runners[runner].limit.is_some();
-            assert!(!is_limited || most as f64 <= allowed, "{case}: {most} of {allowed}");
+            assert!(
+                !is_limited || max_requests as f64 <= allowed,
+                "{case}: {max_requests} of {allowed}"
+            );
         }
     }
 
-    /// Requests of a runner since `after`.
-    fn got(&self, runner: usize, after: Instant) -> usize {
+    /// Returns the number of requests to a runner since `after`.
+    fn request_count(&self, runner: usize, after: Instant) -> usize {
         self.runners[runner].arrivals.iter().filter(|(at, _)| *at >= after).count()
     }
 }
@@ -266,10 +270,10 @@
 const SIZES: [(usize, usize); 3] = [(6, 4), (85, 3), (295, 6)];
 const LIMITS: [f64; 5] = [0.5, 1.8, 2.6, 10.0, 50.0];
 
-/// Guards against a runner that gets more than its limit from many nodes, each within its own part, and
-/// against rejected requests while it has room.
+/// Guards against exceeding a runner's limit by many nodes that each comply with their share, and
+/// against rejecting requests while the limit allows more.
 #[tokio::test(start_paused = true)]
-async fn the_sum_over_all_nodes_keeps_to_the_limit_and_uses_it() {
+async fn total_rate_of_all_nodes_stays_below_the_limit_and_uses_it() {
     for (nodes, runners) in SIZES {
         for limit in LIMITS {
             for limited in [1, runners / 2, runners] {
@@ -290,19 +294,24 @@
                 let served = (system.served - served) as f64 / 10.0;
                 let offered = served + (system.rejected - rejected) as f64 / 10.0;
                 let possible = offered.min(limit * limited as f64);
-                let got = (0..limited).map(|r| system.got(r, settled)).sum::<usize>() as f64 / 10.0;
+                let request_count =
+                    (0..limited).map(|r| system.request_count(r, settled)).sum::<usize>() as f64
+                        / 10.0;
                 if limited == runners {
-                    assert!(got >= possible * 0.75, "{case}: {got} of {possible}");
+                    assert!(
+                        request_count >= possible * 0.75,
+                        "{case}: {request_count} of {possible}"
+                    );
                 }
             }
         }
     }
 }
 
-/// Guards against nodes that never use a runner again after its limit, as only a few of them still send to
-/// it and would notice, also when their reports are lost.
+/// Guards against nodes that do not use a runner again after the end of its limit: only a few of
+/// them still send requests to it, and their reports may be lost.
 #[tokio::test(start_paused = true)]
-async fn all_nodes_use_a_runner_again_after_its_limit() {
+async fn all_nodes_use_a_runner_again_after_its_limit_ends() {
     for loss in [0.0, 0.5] {
         let mut system = System::new(85, 3, 11);
         system.loss = loss;
@@ -311,17 +320,17 @@
         system.run(Duration::from_secs(10)).await;
         system.limit(3, None);
         system.run(Duration::from_secs(4)).await;
-        let (rejected, back) = (system.rejected, Instant::now());
+        let (rejected, start) = (system.rejected, Instant::now());
         system.run(Duration::from_secs(5)).await;
         assert_eq!(system.rejected, rejected, "loss {loss}");
-        assert!((0..3).all(|runner| system.got(runner, back) > 200), "loss {loss}");
+        assert!((0..3).all(|runner| system.request_count(runner, start) > 200), "loss {loss}");
     }
 }
 
-/// Guards against a limit that is exceeded while owners stop and start, messages are lost and the limit
+/// Guards against exceeding a limit while owners start and stop, messages are lost and the limit
 /// changes.
 #[tokio::test(start_paused = true)]
-async fn a_limit_holds_while_nodes_come_and_go() {
+async fn limit_holds_while_nodes_start_and_stop() {
     for seed in 0..10 {
         let (nodes, runners) = SIZES[seed as usize % 2];
         let mut system = System::new(nodes, runners, seed);
@@ -331,7 +340,7 @@
         let start = Instant::now();
         for _ in 0..15 {
             let node = system.random.random_range(0..nodes);
-            system.up[node] = !system.up[node];
+            system.running[node] = !system.running[node];
             system.run(Duration::from_millis(700)).await;
             system.publish_nodes();
             let limit = system.random.random_range(2.0..4.0);
@@ -342,9 +351,9 @@
     }
 }
 
-/// Guards against a limit of a former incarnation that holds for the one started at its address.
+/// Guards against applying the limit of a former incarnation to a restarted runner.
 #[tokio::test(start_paused = true)]
-async fn a_restarted_runner_has_no_limit() {
+async fn restarted_runner_has_no_limit() {
     let system = System::new(1, 1, 1);
     let fleet = &system.nodes[0];
     fleet.set_rate_limit(system.key(0, 0), Some(0.0));
@@ -353,9 +362,9 @@
     assert!(fleet.choose(&criteria()).is_some());
 }
 
-/// Guards against an old report of a peer that brings back a limit which has ended since.
+/// Guards against an old report from a peer that restores a limit which has ended since.
 #[tokio::test(start_paused = true)]
-async fn a_newer_response_outweighs_an_older_report() {
+async fn newer_response_overrides_an_older_report() {
     let system = System::new(1, 1, 1);
     let fleet = &system.nodes[0];
     let report = |limit, age_ms| {
@@ -372,9 +381,9 @@
     assert!(report(None, 0));
 }
 
-/// Guards against a runner that is never used again, as nobody confirms or ends its limit.
+/// Guards against a runner that is not used again because no response confirms or ends its limit.
 #[tokio::test(start_paused = true)]
-async fn an_unconfirmed_limit_expires() {
+async fn unconfirmed_limit_expires() {
     let system = System::new(1, 1, 1);
     let fleet = &system.nodes[0];
     fleet.set_rate_limit(system.key(0, 0), Some(0.0));
@@ -384,10 +393,10 @@
     assert!(fleet.choose(&criteria()).is_some());
 }
 
-/// Guards against a limit that peers learn a second late, as another response confirms it before the
-/// report.
+/// Guards against delaying the report of a limit by a second because another response has confirmed
+/// it before the report was sent.
 #[tokio::test(start_paused = true)]
-async fn a_confirmed_limit_is_still_reported() {
+async fn confirmed_limit_is_still_reported() {
     let system = System::new(1, 1, 1);
     let fleet = &system.nodes[0];
     fleet.set_rate_limit(system.key(0, 0), Some(2.0));
--- a/crates/relay/tests/registry.rs
+++ b/crates/relay/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of runners.
+//! Registry of runners.
 
 use {
     bilberryfront_decide::member::message::Restart,
@@ -16,11 +16,11 @@
     tokio::time::{Instant, advance},
 };
 
-/// Entries spelled `ADDRESS BORN STATE`.
+/// Decoder of registrations in the text format `ADDRESS BORN STATE`.
 #[derive(Clone)]
-struct Spelled;
+struct TextRecords;
 
-impl Records for Spelled {
+impl Records for TextRecords {
     const ORDERS: &'static str = "orders";
     const CATALOG: &'static str = "catalog";
     const RUNNERS: &'static str = "runners";
@@ -70,7 +70,7 @@
     registry.runners().iter().map(|r| r.id.to_string()).collect()
 }
 
-/// Time for which runners may return after an outage.
+/// Time after an outage for which missing runners are kept.
 const GRACE: Duration = Duration::from_millis(2_500);
 
 fn registry(rows: &[Row]) -> RunnerRegistry {
@@ -80,12 +80,12 @@
 }
 
 fn update(registry: &mut RunnerRegistry, rows: &[Row], grace: Duration) -> bool {
-    registry.update(Instant::now(), rows, grace, &Spelled)
+    registry.update(Instant::now(), rows, grace, &TextRecords)
 }
 
-/// Guards against sends to the expired id of a runner that restarted at its address.
+/// Guards against requests to the former id of a runner that has restarted at its address.
 #[tokio::test(start_paused = true)]
-async fn a_later_incarnation_takes_over_the_address() {
+async fn newer_registration_replaces_an_older_one_at_its_address() {
     let mut registry =
         registry(&[row("old", "10.0.0.1:80 5 ready"), row("b", "10.0.0.2:80 5 ready")]);
     assert!(update(&mut registry, &[row("new", "10.0.0.1:80 9 ready")], Duration::ZERO));
@@ -94,9 +94,10 @@
     assert_eq!(ids(&registry), ["b", "new"]);
 }
 
-/// Guards against dropping live runners whose registrations expired during an outage of the store.
+/// Guards against removing running runners whose registrations expired during an outage of the
+/// store.
 #[tokio::test(start_paused = true)]
-async fn registrations_that_expired_in_an_outage_are_kept_for_a_while() {
+async fn registrations_expired_in_an_outage_are_kept_for_the_grace_period() {
     let all = [row("a", "10.0.0.1:80 5 ready"), row("b", "10.0.0.2:80 5 ready")];
     let mut registry = registry(&all);
     update(&mut registry, &[row("a", ""), row("b", "")], GRACE);
@@ -110,9 +111,9 @@
     assert_eq!(ids(&registry), ["a"]);
 }
 
-/// Guards against losing engines that restart under new ids while the store cannot report them.
+/// Guards against losing engines that restart with new ids while the store cannot report them.
 #[tokio::test(start_paused = true)]
-async fn a_runner_that_restarts_in_an_outage_is_adopted_until_it_registers() {
+async fn runner_restarted_in_an_outage_is_adopted_until_it_registers() {
     let restart = |id: &str| Restart { former: "a".into(), id: Some(id.into()) };
     let all = [row("a", "10.0.0.1:80 5 ready"), row("b", "10.0.0.2:80 5 ready")];
     let mut registry = registry(&all);
@@ -121,42 +122,49 @@
     assert_eq!(ids(&registry), ["a2", "b"]);
     assert_eq!(registry.runners()[0].address, "10.0.0.1:80".parse().unwrap());
     assert!(!registry.adopt_restarts(&[restart("a2")], false), "repeated");
-    assert!(!update(&mut registry, &all[..1], Duration::ZERO), "a late row of the former one");
+    assert!(
+        !update(&mut registry, &all[..1], Duration::ZERO),
+        "a late row of the former incarnation"
+    );
     advance(Duration::from_secs(5)).await;
     assert!(!registry.remove_expired(Instant::now(), false), "the outage lasts");
     update(&mut registry, &[row("a", "")], GRACE);
     assert!(!registry.remove_expired(Instant::now(), true));
-    assert_eq!(ids(&registry), ["a2", "b"], "it has time to register");
+    assert_eq!(ids(&registry), ["a2", "b"], "the runner has time to register");
     advance(Duration::from_secs(3)).await;
     assert!(registry.remove_expired(Instant::now(), true));
     assert_eq!(ids(&registry), ["b"]);
 }
 
-/// Load: engines restart and drain while the store is silent. Guards against nodes that each try them
-/// again and use up the retry budget, so that streams lost in the next crash are not resumed.
+/// Load: engines restart and drain while the store does not respond. Guards against nodes that each
+/// send requests to them again and exhaust the retry budget, so that streams lost in the next crash
+/// are not resumed.
 #[tokio::test(start_paused = true)]
-async fn a_runner_that_restarts_and_drains_in_an_outage_is_removed() {
-    let gone = Restart { former: "a".into(), id: None };
+async fn runner_restarted_and_draining_in_an_outage_is_removed() {
+    let unusable = Restart { former: "a".into(), id: None };
     let mut registry =
         registry(&[row("a", "10.0.0.1:80 5 ready"), row("b", "10.0.0.2:80 5 ready")]);
-    assert!(!registry.adopt_restarts(std::slice::from_ref(&gone), true), "the store is available");
-    assert!(registry.adopt_restarts(std::slice::from_ref(&gone), false));
+    assert!(
+        !registry.adopt_restarts(std::slice::from_ref(&unusable), true),
+        "the store is available"
+    );
+    assert!(registry.adopt_restarts(std::slice::from_ref(&unusable), false));
     assert_eq!(ids(&registry), ["b"]);
-    assert!(!registry.adopt_restarts(&[gone], false), "repeated");
+    assert!(!registry.adopt_restarts(&[unusable], false), "repeated");
 }
 
-/// Guards against requests to a runner that has left.
+/// Guards against requests to a runner that has exited.
 #[tokio::test(start_paused = true)]
-async fn a_removed_registration_counts_at_once() {
+async fn removed_registration_takes_effect_at_once() {
     let mut registry =
         registry(&[row("a", "10.0.0.1:80 5 ready"), row("b", "10.0.0.2:80 5 ready")]);
     assert!(update(&mut registry, &[row("a", "")], Duration::ZERO));
     assert_eq!(ids(&registry), ["b"]);
 }
 
-/// Guards against one undecodable row hiding the others.
+/// Guards against ignoring valid rows because of an invalid one.
 #[tokio::test(start_paused = true)]
-async fn an_undecodable_row_affects_no_other() {
+async fn invalid_row_affects_no_other_row() {
     let rows = [row("a", "10.0.0.1:80 5 ready"), row("b", "\u{1}"), row("c", "x")];
     let mut registry = registry(&rows);
     assert_eq!(ids(&registry), ["a"]);
--- a/crates/relay/tests/rollouts.rs
+++ b/crates/relay/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Version moves: several nodes, a store and two versions, on a paused clock.
+//! Rollouts with several nodes, a store and two versions, on a paused clock.
 
 use {
     bilberryfront_decide::{
@@ -20,69 +20,70 @@
 const BOUND: Bound = Bound { share: 0.1, slack: 50.0 };
 const STEP: Duration = Duration::from_millis(50);
 const TIME: Duration = Duration::from_secs(12);
-/// Requests a second at each node.
+/// Requests per second of each node.
 const RATE: f64 = 5.0;
 
-/// One node: its moves, and what its traffic has given.
+/// A node with its rollouts and the requests that it assigned.
 struct Node {
     rollouts: Rollouts,
-    given: Exposure,
-    /// Neither the store nor peers are reached.
-    cut: bool,
+    exposure: Exposure,
+    /// Whether the node has no connection to the store and to its peers.
+    isolated: bool,
     dead: bool,
 }
 
-/// How often requests fail.
+/// Probabilities that a request fails.
 #[derive(Clone, Copy)]
-struct Failing {
+struct FailureRates {
     old: f64,
     new: f64,
-    /// The new version's failures are on this route only.
+    /// Route to which the failures of the new version are limited.
     route: Option<&'static str>,
-    /// When the new version turns bad.
+    /// Time after the start from which the new version has its own failure rate.
     from: Duration,
 }
 
-const GOOD: Failing = Failing { old: 0.02, new: 0.02, route: None, from: Duration::ZERO };
-const BAD: Failing = Failing { new: 0.6, ..GOOD };
+const HEALTHY: FailureRates =
+    FailureRates { old: 0.02, new: 0.02, route: None, from: Duration::ZERO };
+const FAILING: FailureRates = FailureRates { new: 0.6, ..HEALTHY };
 
 struct World {
     nodes: Vec<Node>,
     rng: SmallRng,
     start: Instant,
-    failing: Failing,
+    failure_rates: FailureRates,
     store: Option<(u64, RolloutStatus)>,
     revision: u64,
     store_down: bool,
-    finals: u32,
-    news: Vec<(usize, MoveUpdate)>,
-    /// Requests after the order, and those of the new version.
+    final_writes: u32,
+    messages: Vec<(usize, MoveUpdate)>,
+    /// Number of requests since the order, and of those sent to the new version.
     all: u32,
     new: u32,
 }
 
-fn order() -> RolloutOrder {
+fn rollout_order() -> RolloutOrder {
     RolloutOrder { service: "llm".into(), to: "v2".into(), time: TIME }
 }
 
 impl World {
-    fn new(seed: u64, failing: Failing) -> World {
+    fn new(seed: u64, failure_rates: FailureRates) -> World {
         let now = Instant::now();
         let node = |i: u64| {
             let mut rollouts = Rollouts::new(Incarnation(i + 1));
-            rollouts.apply_order(now, 10, order());
-            Node { rollouts, given: Exposure::default(), cut: false, dead: false }
+            rollouts.apply_order(now, 10, rollout_order());
+            Node { rollouts, exposure: Exposure::default(), isolated: false, dead: false }
         };
         World {
             nodes: (0..6).map(node).collect(),
             rng: SmallRng::seed_from_u64(seed),
             start: now,
-            failing,
+            failure_rates,
             store: None,
             revision: 10,
             store_down: false,
-            finals: 0,
-            news: Vec::new(),
+            final_writes: 0,
+            messages: Vec::new(),
             all: 0,
             new: 0,
         }
@@ -99,20 +100,23 @@
     fn step(&mut self) {
         let now = Instant::now();
         let count = self.nodes.len();
-        for (from, news) in std::mem::take(&mut self.news) {
-            let others = self.nodes.iter_mut().enumerate().filter(|(i, n)| *i != from && !n.cut);
-            others.for_each(|(_, node)| node.rollouts.handle_peer_update(now, &news));
+        for (from, update) in std::mem::take(&mut self.messages) {
+            let others =
+                self.nodes.iter_mut().enumerate().filter(|(i, n)| *i != from && !n.isolated);
+            others.for_each(|(_, node)| node.rollouts.handle_peer_update(now, &update));
         }
         for i in 0..count {
             if self.nodes[i].dead {
                 continue;
             }
-            self.traffic(i, now);
+            self.send_request(i, now);
             self.nodes[i].rollouts.set_ready_runners("llm", 4);
             for action in self.nodes[i].rollouts.tick(now, i, count) {
                 match action {
-                    Action::Broadcast(news) if !self.nodes[i].cut => self.news.push((i, news)),
-                    Action::Write { status, expected } if !self.nodes[i].cut => {
+                    Action::Broadcast(update) if !self.nodes[i].isolated => {
+                        self.messages.push((i, update));
+                    }
+                    Action::Write { status, expected } if !self.nodes[i].isolated => {
                         self.write(&status, expected);
                     }
                     _ => {}
@@ -122,41 +126,42 @@
     }
 
     fn write(&mut self, record: &RolloutStatus, expected: u64) {
-        let held = self.store.as_ref().map_or(0, |(revision, _)| *revision);
-        if self.store_down || held != expected {
+        let stored = self.store.as_ref().map_or(0, |(revision, _)| *revision);
+        if self.store_down || stored != expected {
             return;
         }
-        self.finals += u32::from(record.phase != Phase::Canary);
+        self.final_writes += u32::from(record.phase != Phase::Canary);
         self.revision += 1;
         self.store = Some((self.revision, record.clone()));
-        let reached = self.nodes.iter_mut().filter(|n| !n.cut && !n.dead);
-        reached.for_each(|node| node.rollouts.apply_status(self.revision, record.clone()));
+        let receivers = self.nodes.iter_mut().filter(|n| !n.isolated && !n.dead);
+        receivers.for_each(|node| node.rollouts.apply_status(self.revision, record.clone()));
     }
 
-    fn traffic(&mut self, i: usize, now: Instant) {
+    fn send_request(&mut self, i: usize, now: Instant) {
         if !self.rng.random_bool(RATE * STEP.as_secs_f64()) {
             return;
         }
         let split = self.split(i);
-        let choice = self.nodes[i].given.choose(&split, &BOUND, 6, self.rng.random());
+        let choice = self.nodes[i].exposure.choose(&split, &BOUND, 6, self.rng.random());
         if split.rule != Rule::OnlyNew {
             self.all += 1;
             self.new += u32::from(choice.new);
         }
         let route = if self.rng.random_bool(0.5) { "check" } else { "report" };
-        let bad = now >= self.start + self.failing.from
-            && self.failing.route.is_none_or(|only| only == route);
-        let fails = if choice.new && bad { self.failing.new } else { self.failing.old };
-        let trial = RolloutSample {
+        let is_failing = now >= self.start + self.failure_rates.from
+            && self.failure_rates.route.is_none_or(|only| only == route);
+        let failure_rate =
+            if choice.new && is_failing { self.failure_rates.new } else { self.failure_rates.old };
+        let sample = RolloutSample {
             service: "llm".into(),
             route: route.into(),
             choice,
-            ok: !self.rng.random_bool(fails),
+            ok: !self.rng.random_bool(failure_rate),
             first: Some(Duration::from_millis(self.rng.random_range(900..1_400))),
             pace: None,
             runner: self.rng.random_range(0..4),
         };
-        self.nodes[i].rollouts.observe(&trial);
+        self.nodes[i].rollouts.observe(&sample);
     }
 
     fn split(&self, i: usize) -> Split {
@@ -176,28 +181,30 @@
     }
 }
 
-/// A good version: nodes gather evidence on a bounded part of the requests and complete the move before
-/// its deadline. One final record is written, and from then on every node gives it all.
+/// A healthy version: the nodes collect results of a bounded share of the requests and complete the
+/// rollout before its deadline. One final status is written, and then every node sends all requests
+/// to the new version.
 #[tokio::test(start_paused = true)]
-async fn a_good_version_is_completed_in_time() {
+async fn healthy_version_is_completed_before_the_deadline() {
     for seed in 0..20 {
-        let mut world = World::new(seed, GOOD);
+        let mut world = World::new(seed, HEALTHY);
         world.run(TIME).await;
-        assert_eq!((world.phase(), world.finals), (Some(Phase::Completed), 1), "seed {seed}");
+        assert_eq!((world.phase(), world.final_writes), (Some(Phase::Completed), 1), "seed {seed}");
         assert!(world.rules().iter().all(|r| *r == Rule::OnlyNew));
         assert!(world.within_bound(), "{} of {}", world.new, world.all);
     }
 }
 
-/// A version that fails from the start, later, or on one route only is taken back: nodes stop at once
-/// when one of them sees it, and callers never meet more of it than the bound.
+/// A version that fails from the start, later, or on one route only is rolled back: all nodes stop
+/// sending requests to it once one of them detects the failures, and it never gets more requests
+/// than the bound allows.
 #[tokio::test(start_paused = true)]
-async fn a_bad_version_is_taken_back() {
-    let later = Failing { from: Duration::from_secs(3), ..BAD };
-    let route = Failing { route: Some("check"), new: 0.9, ..GOOD };
-    for (name, failing) in [("at once", BAD), ("later", later), ("one route", route)] {
+async fn failing_version_is_rolled_back() {
+    let later = FailureRates { from: Duration::from_secs(3), ..FAILING };
+    let route = FailureRates { route: Some("check"), new: 0.9, ..HEALTHY };
+    for (name, failure_rates) in [("at once", FAILING), ("later", later), ("one route", route)] {
         for seed in 0..10 {
-            let mut world = World::new(seed, failing);
+            let mut world = World::new(seed, failure_rates);
             world.run(TIME).await;
             assert_eq!(world.phase(), Some(Phase::RolledBack), "{name}, seed {seed}");
             assert!(world.rules().iter().all(|r| *r == Rule::OnlyOld));
@@ -206,62 +213,62 @@
     }
 }
 
-/// Everything fails at both versions, as in an outage behind the runners: that says nothing against
-/// the new one.
+/// Requests fail on both versions alike, as in an outage behind the runners. Guards against
+/// attributing these failures to the new version.
 #[tokio::test(start_paused = true)]
-async fn an_outage_of_both_versions_is_not_the_new_ones_fault() {
+async fn outage_of_both_versions_does_not_roll_back_the_new_one() {
     let mut completed = 0;
     for seed in 0..20 {
-        let mut world = World::new(seed, Failing { old: 0.3, new: 0.3, ..GOOD });
+        let mut world = World::new(seed, FailureRates { old: 0.3, new: 0.3, ..HEALTHY });
         world.run(TIME).await;
         completed += u32::from(world.phase() == Some(Phase::Completed));
     }
     assert!(completed >= 15, "{completed} of 20");
 }
 
-/// The first node to write is dead when the move is to be completed. The next one takes its turn, still
-/// before the deadline.
+/// The first two nodes in the order of writers are dead when the rollout is to be completed. The
+/// next one writes the status, still before the deadline.
 #[tokio::test(start_paused = true)]
-async fn a_move_outlives_the_node_that_steps_it() {
-    let mut world = World::new(1, GOOD);
+async fn rollout_completes_after_the_first_writers_die() {
+    let mut world = World::new(1, HEALTHY);
     world.run(Duration::from_secs(9)).await;
     world.nodes[0].dead = true;
     world.nodes[1].dead = true;
     world.run(Duration::from_secs(3)).await;
-    assert_eq!((world.phase(), world.finals), (Some(Phase::Completed), 1));
+    assert_eq!((world.phase(), world.final_writes), (Some(Phase::Completed), 1));
 }
 
-/// The store is avoid_domain while a version shows bad. Nodes stop giving it requests all the same, and the
-/// record follows when the store is back.
+/// The store is unavailable while a version fails. The nodes stop sending requests to the version,
+/// and the status is written when the store is available again.
 #[tokio::test(start_paused = true)]
-async fn badness_counts_also_without_the_store() {
-    let mut world = World::new(2, BAD);
+async fn failing_version_is_rolled_back_without_the_store() {
+    let mut world = World::new(2, FAILING);
     world.store_down = true;
     world.run(Duration::from_secs(10)).await;
     assert!(world.rules().iter().all(|r| *r == Rule::OnlyOld));
     assert_eq!(world.phase(), None);
     world.store_down = false;
     world.run(Duration::from_secs(3)).await;
-    assert_eq!((world.phase(), world.finals), (Some(Phase::RolledBack), 1));
+    assert_eq!((world.phase(), world.final_writes), (Some(Phase::RolledBack), 1));
 }
 
-/// A node is cut off from the store and its peers, and hears neither evidence nor verdict. It keeps to
-/// its own part of the bound, so the sum holds.
+/// A node has no connection to the store and its peers, and receives neither results nor the
+/// verdict. It only uses its own share of the bound, so the global bound holds.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_is_cut_off_keeps_to_its_part() {
-    let mut world = World::new(3, BAD);
-    world.nodes[5].cut = true;
+async fn isolated_node_keeps_to_its_share_of_the_bound() {
+    let mut world = World::new(3, FAILING);
+    world.nodes[5].isolated = true;
     world.run(TIME).await;
     assert!(world.within_bound(), "{} of {}", world.new, world.all);
 }
 
-/// A node sees badness at the moment at which another completes the move. The old runners are stopping:
-/// the store's word counts.
+/// A node learns of failures of the new version while another node completes the rollout. The old
+/// runners stop already, so the status in the store is authoritative.
 #[tokio::test(start_paused = true)]
-async fn the_stores_first_final_word_counts() {
+async fn first_stored_final_status_is_authoritative() {
     let mut node = Rollouts::new(Incarnation(9));
-    node.apply_order(Instant::now(), 10, order());
-    let news = MoveUpdate {
+    node.apply_order(Instant::now(), 10, rollout_order());
+    let update = MoveUpdate {
         from: Incarnation(1),
         sequence: 1,
         acks: Vec::new(),
@@ -274,17 +281,18 @@
         }),
         evidence: None,
     };
-    node.handle_peer_update(Instant::now(), &news);
+    node.handle_peer_update(Instant::now(), &update);
     assert_eq!(node.splits()["llm"].rule, Rule::OnlyOld);
     let record = RolloutStatus { service: "llm".into(), to: "v2".into(), phase: Phase::Completed };
     node.apply_status(12, record);
     assert_eq!(node.splits()["llm"].rule, Rule::OnlyNew);
 }
 
-/// A node starts anew after a move was settled: it reads the record, in whichever order, and tries
-/// nothing. A record that is older than the order is of an earlier move.
+/// A node restarts after the end of a rollout. It applies the stored status, whether it reads the
+/// status or the order first, and sends no further requests to a version that was rolled back. A
+/// status older than the order belongs to an earlier rollout.
 #[tokio::test(start_paused = true)]
-async fn a_restarted_node_follows_the_record() {
+async fn restarted_node_applies_the_stored_status() {
     let record = |phase| RolloutStatus { service: "llm".into(), to: "v2".into(), phase };
     for (revision, phase, rule) in [
         (12, Phase::Completed, Rule::OnlyNew),
@@ -298,7 +306,7 @@
             if first {
                 node.apply_status(revision, record(phase));
             }
-            node.apply_order(Instant::now(), 10, order());
+            node.apply_order(Instant::now(), 10, rollout_order());
             if !first {
                 node.apply_status(revision, record(phase));
             }
@@ -307,12 +315,12 @@
     }
 }
 
-/// The new version never has a runner: the move is taken back at its end instead of stopping the old
-/// ones.
+/// The new version never has a runner. Guards against completing the rollout, which would stop the
+/// old runners.
 #[tokio::test(start_paused = true)]
-async fn a_version_without_runners_is_not_completed() {
+async fn version_without_runners_is_not_completed() {
     let mut node = Rollouts::new(Incarnation(1));
-    node.apply_order(Instant::now(), 10, order());
+    node.apply_order(Instant::now(), 10, rollout_order());
     let mut records = BTreeMap::new();
     let end = Instant::now() + TIME;
     while Instant::now() < end {
--- a/crates/relay/tests/table_sync.rs
+++ b/crates/relay/tests/table_sync.rs
@@ -1,5 +1,5 @@
-//! Replication of the store's tables within a failure domain: 33 nodes of 100 in three domains, and
-//! 60 of 300 in five.
+//! Replication of the store's tables within a failure domain of 33 nodes (of 100 in three domains)
+//! and of 60 nodes (of 300 in five domains).
 
 #[path = "table_sync/world.rs"]
 mod world;
@@ -17,16 +17,16 @@
     tokio::time::Instant,
 };
 
-/// Nodes of one failure domain.
+/// Numbers of nodes in one failure domain.
 const SIZES: [usize; 2] = [33, 60];
 const RUNNERS: usize = 100;
 const DOMAINS: usize = 2;
 const TABLES: usize = TableId::ALL.len();
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Load: quiet. The number of calls to the store does not depend on the number of nodes.
+/// Load: no changes. The number of calls to the store does not depend on the number of nodes.
 #[tokio::test(start_paused = true)]
-async fn calls_do_not_grow_with_the_domain() {
+async fn store_calls_do_not_depend_on_the_domain_size() {
     for size in SIZES {
         let mut world = World::settled(size, RUNNERS).await;
         world.run(20 * SECOND).await;
@@ -39,46 +39,47 @@
 
 /// Guards against a node that misses a changed catalogue or registration.
 #[tokio::test(start_paused = true)]
-async fn a_change_reaches_every_node_at_once() {
+async fn change_reaches_every_node() {
     for size in SIZES {
         let mut world = World::settled(size, RUNNERS).await;
         for (table, key) in [(TableId::Operators, "config"), (TableId::Runners, "r7")] {
             let revision = world.store.put(table, key);
-            let took = world.until("changed", |n| n.has(table, key, revision)).await;
-            assert!(took <= Duration::from_millis(50), "{took:?}");
+            let elapsed = world.until("changed", |n| n.has(table, key, revision)).await;
+            assert!(elapsed <= Duration::from_millis(50), "{elapsed:?}");
         }
     }
 }
 
 /// Guards against requests to a removed runner after both readers of a domain are lost.
 #[tokio::test(start_paused = true)]
-async fn other_nodes_take_over_from_lost_readers() {
+async fn other_nodes_replace_lost_readers() {
     for size in SIZES {
         let mut world = World::settled(size, RUNNERS).await;
         for reader in world.readers() {
             world.nodes[reader].dead = true;
         }
         world.store.remove(TableId::Runners, "r7");
-        let took = world.until("removed", |n| !n.removed.is_empty()).await;
-        assert!(took <= 2 * SECOND, "{took:?}");
+        let elapsed = world.until("removed", |n| !n.removed.is_empty()).await;
+        assert!(elapsed <= 2 * SECOND, "{elapsed:?}");
         let mut live = world.nodes.iter().filter(|n| !n.dead);
         assert!(live.all(|n| n.removed == [("r7".into(), Duration::ZERO)]), "removed at once");
     }
 }
 
-/// Guards against a domain without news while the store rejects its readers and serves others.
+/// Guards against a domain without updates while the store rejects its readers and serves other
+/// nodes.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_the_store_serves_reads_for_all() {
+async fn node_with_access_to_the_store_reads_for_all() {
     for size in SIZES {
         let mut world = World::settled(size, RUNNERS).await;
         for reader in world.readers() {
-            world.nodes[reader].refused = true;
+            world.nodes[reader].rejected = true;
         }
-        (0..size).step_by(3).for_each(|index| world.nodes[index].refused = true);
+        (0..size).step_by(3).for_each(|index| world.nodes[index].rejected = true);
         let revision = world.store.put(TableId::Operators, "config");
         let key = |n: &world::Node| n.has(TableId::Operators, "config", revision);
-        let took = world.until("changed", key).await;
-        assert!(took <= 2 * SECOND, "{took:?}");
+        let elapsed = world.until("changed", key).await;
+        assert!(elapsed <= 2 * SECOND, "{elapsed:?}");
         world.store.calls = 0;
         world.run(5 * SECOND).await;
         assert!(world.store.calls <= 80, "{} calls of {size} nodes", world.store.calls);
@@ -87,28 +88,29 @@
     }
 }
 
-/// Guards against a domain without news while the store rejects all its nodes.
+/// Guards against a domain without updates while the store rejects all its nodes.
 #[tokio::test(start_paused = true)]
-async fn another_domain_helps_one_that_the_store_rejects() {
+async fn rejected_domain_gets_changes_from_another_domain() {
     for size in SIZES {
         let mut world = World::settled(size, RUNNERS).await;
-        world.nodes.iter_mut().filter(|n| n.domain == 0).for_each(|n| n.refused = true);
+        world.nodes.iter_mut().filter(|n| n.domain == 0).for_each(|n| n.rejected = true);
         world.run(5 * SECOND).await;
         world.store.remove(TableId::Runners, "r7");
-        let took = world.until("removed", |n| !n.removed.is_empty()).await;
-        assert!(took <= 2 * SECOND, "{took:?}");
+        let elapsed = world.until("removed", |n| !n.removed.is_empty()).await;
+        assert!(elapsed <= 2 * SECOND, "{elapsed:?}");
     }
 }
 
-/// Load: an outage of the store. Attempts do not grow with the domain. Guards against dropping
-/// runners whose registrations expired meanwhile: all nodes know that they may return.
+/// Load: an outage of the store. The number of attempts does not depend on the size of the domain.
+/// Guards against removing runners whose registrations expired during the outage: all nodes keep
+/// them for the time in which they may register again.
 #[tokio::test(start_paused = true)]
-async fn an_outage_costs_few_calls_and_is_known_to_all() {
+async fn outage_causes_few_calls_and_is_known_to_all_nodes() {
     for size in SIZES {
         let mut world = World::settled(size, RUNNERS).await;
         world.store.down = true;
         world.run(5 * SECOND).await;
-        // One table of each reader, and two attempts a second in each domain.
+        // One table per reader, and two attempts per second in each domain.
         let limit = (DOMAINS * READERS) as f64 * 5.0 / BACKOFF.as_secs_f64() + 2.0 * 10.0;
         assert!(f64::from(world.store.calls) <= limit, "{} calls of {size}", world.store.calls);
         assert!(world.nodes.iter().all(|n| !n.sync.is_settled(Instant::now())));
@@ -122,51 +124,52 @@
     }
 }
 
-/// Load: all nodes start at once. Few of them read the store.
+/// Load: all nodes start at the same time. Only few of them read the store.
 #[tokio::test(start_paused = true)]
-async fn a_common_start_is_no_stampede() {
+async fn simultaneous_start_causes_few_calls() {
     for size in SIZES {
         let mut world = World::new(size, RUNNERS);
-        let took = world.until("loaded", |n| n.rows.len() == RUNNERS + 1).await;
-        assert!(took <= Duration::from_millis(300), "{took:?}");
+        let elapsed = world.until("loaded", |n| n.rows.len() == RUNNERS + 1).await;
+        assert!(elapsed <= Duration::from_millis(300), "{elapsed:?}");
         assert!(world.store.calls <= 12, "{} calls of {size} nodes", world.store.calls);
     }
 }
 
-/// Guards against a start that waits for readers that are down.
+/// Guards against a start that waits for readers that are not running.
 #[tokio::test(start_paused = true)]
-async fn a_start_without_readers_is_no_stampede_either() {
+async fn simultaneous_start_without_readers_causes_few_calls() {
     for size in SIZES {
         let mut world = World::new(size, RUNNERS);
         for reader in world.readers() {
             world.nodes[reader].dead = true;
         }
-        let took = world.until("loaded", |n| n.rows.len() == RUNNERS + 1).await;
-        assert!(took <= Duration::from_millis(500), "{took:?}");
+        let elapsed = world.until("loaded", |n| n.rows.len() == RUNNERS + 1).await;
+        assert!(elapsed <= Duration::from_millis(500), "{elapsed:?}");
         assert!(world.store.calls <= 20, "{} calls of {size} nodes", world.store.calls);
     }
 }
 
-/// Guards against a node that lost an update and keeps the old row for good.
+/// Guards against a node that missed an update and keeps the old row.
 #[tokio::test(start_paused = true)]
-async fn a_lost_update_is_repaired() {
+async fn lost_update_is_repaired() {
     for size in SIZES {
         let mut world = World::settled(size, RUNNERS).await;
         let readers = world.readers();
-        let deaf = (0..size).find(|index| !readers.contains(index)).unwrap();
-        world.deaf.insert(world.nodes[deaf].name.clone());
+        let unreachable = (0..size).find(|index| !readers.contains(index)).unwrap();
+        world.unreachable.insert(world.nodes[unreachable].name.clone());
         let revision = world.store.put(TableId::Runners, "r7");
         world.run(Duration::from_millis(100)).await;
-        world.deaf.clear();
-        let took = world.until("repaired", |n| n.has(TableId::Runners, "r7", revision)).await;
-        assert!(took <= Duration::from_millis(1_300), "{took:?}");
+        world.unreachable.clear();
+        let elapsed = world.until("repaired", |n| n.has(TableId::Runners, "r7", revision)).await;
+        assert!(elapsed <= Duration::from_millis(1_300), "{elapsed:?}");
     }
 }
 
-/// Guards against a row that goes back when updates of two readers cross.
+/// Guards against replacing a row by an older version when updates of two readers arrive out of
+/// order.
 #[test]
-fn copies_agree_whatever_the_order_of_updates() {
-    /// Updates as key and revision, and which of them arrive late.
+fn copies_agree_for_any_order_of_updates() {
+    /// Updates as key and revision, and whether each of them arrives late.
     type Case = (Vec<(u8, u16)>, Vec<bool>);
     fn agree((updates, late): &Case) -> bool {
         let now = Instant::now();
@@ -181,16 +184,16 @@
             mirror.replace(now, Rows::default());
             mirror
         };
-        let (mut straight, mut crossed) = (start(), start());
-        straight.merge(now, rows.clone());
+        let (mut in_order, mut reordered) = (start(), start());
+        in_order.merge(now, rows.clone());
         let is_late = |index: usize| late.get(index).copied().unwrap_or_default();
-        let (late, soon): (Vec<_>, Vec<_>) =
+        let (late, early): (Vec<_>, Vec<_>) =
             rows.into_iter().enumerate().partition(|(index, _)| is_late(*index));
         let rows = |part: &[(usize, Row)]| part.iter().map(|(_, row)| row.clone()).collect();
-        crossed.merge(now, rows(&soon));
-        crossed.merge(now, rows(&late));
-        crossed.merge(now, rows(&soon));
-        straight.hash() == crossed.hash() && straight.rows() == crossed.rows()
+        reordered.merge(now, rows(&early));
+        reordered.merge(now, rows(&late));
+        reordered.merge(now, rows(&early));
+        in_order.hash() == reordered.hash() && in_order.rows() == reordered.rows()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 0x5eed))
--- a/crates/relay/tests/table_sync/world.rs
+++ b/crates/relay/tests/table_sync/world.rs
@@ -1,4 +1,5 @@
-//! Failure domains of nodes, a store and the messages between them, in steps of ten milliseconds.
+//! Simulation of two failure domains of nodes, a store and the messages between them, in steps of
+//! ten milliseconds.
 
 use {
     bilberryfront_decide::member::{PeerMessage, message::TableId},
@@ -16,9 +17,9 @@
     tokio::time::{Instant, advance},
 };
 
-/// Length of a step: more than a message takes within a failure domain.
+/// Length of a step; longer than the delay of a message within a failure domain.
 const STEP: Duration = Duration::from_millis(10);
-/// Long-poll wait, and pause between two polls that are rejected.
+/// Long-poll wait, and delay between two rejected polls.
 pub(crate) const WAIT: Duration = Duration::from_secs(4);
 pub(crate) const BACKOFF: Duration = Duration::from_millis(800);
 /// Nodes of the second domain.
@@ -28,12 +29,13 @@
     pub(crate) name: CompactString,
     pub(crate) domain: usize,
     pub(crate) sync: TableSync,
-    /// What was applied, by table and key, with the grace of removed rows.
+    /// Revisions of the applied rows by table and key; removed rows are in `removed`, with their
+    /// grace period.
     pub(crate) rows: BTreeMap<(TableId, CompactString), u64>,
     pub(crate) removed: Vec<(CompactString, Duration)>,
     pub(crate) dead: bool,
     /// Whether the store rejects this node.
-    pub(crate) refused: bool,
+    pub(crate) rejected: bool,
     polls: [Poll; 3],
 }
 
@@ -57,14 +59,14 @@
     pub(crate) nodes: Vec<Node>,
     pub(crate) store: Store,
     messages: VecDeque<(CompactString, CompactString, PeerMessage)>,
-    /// Nodes that get no messages now.
-    pub(crate) deaf: BTreeSet<CompactString>,
+    /// Nodes that receive no messages.
+    pub(crate) unreachable: BTreeSet<CompactString>,
     pub(crate) sent: usize,
 }
 
 impl World {
-    /// Two domains whose nodes start now, over a store that holds `runners` rows. The first one has
-    /// `size` nodes, the other one [`OTHERS`].
+    /// Creates two domains whose nodes start now, and a store with `runners` registrations. The
+    /// first domain has `size` nodes, the other one [`OTHERS`].
     pub(crate) fn new(size: usize, runners: usize) -> World {
         let now = Instant::now();
         let mut store = Store::default();
@@ -81,16 +83,16 @@
                 sync.start(now);
                 sync.set_ranking(ranking.clone());
                 let (rows, removed) = (BTreeMap::new(), Vec::new());
-                let (dead, refused, polls) = (false, false, [poll; 3]);
-                Node { name, domain, sync, rows, removed, dead, refused, polls }
+                let (dead, rejected, polls) = (false, false, [poll; 3]);
+                Node { name, domain, sync, rows, removed, dead, rejected, polls }
             };
             names.enumerate().map(node).collect::<Vec<_>>()
         };
         let nodes = domain(0, size).into_iter().chain(domain(1, OTHERS)).collect();
-        World { nodes, store, messages: VecDeque::new(), deaf: BTreeSet::new(), sent: 0 }
+        World { nodes, store, messages: VecDeque::new(), unreachable: BTreeSet::new(), sent: 0 }
     }
 
-    /// The same, after all nodes have learned everything.
+    /// Creates the same domains, after all nodes have received all rows.
     pub(crate) async fn settled(size: usize, runners: usize) -> World {
         let mut world = World::new(size, runners);
         world.run(Duration::from_secs(10)).await;
@@ -100,7 +102,7 @@
         world
     }
 
-    /// Indices of the first domain's readers by rank.
+    /// Returns the indices of the first domain's readers by rank.
     pub(crate) fn readers(&self) -> Vec<usize> {
         self.readers_of(0)
     }
@@ -120,10 +122,14 @@
         }
     }
 
-    /// Runs until all live nodes satisfy a condition; the time it took.
-    pub(crate) async fn until(&mut self, what: &str, holds: impl Fn(&Node) -> bool) -> Duration {
+    /// Runs until all live nodes satisfy a condition, and returns the elapsed time.
+    pub(crate) async fn until(
+        &mut self,
+        what: &str,
+        is_satisfied: impl Fn(&Node) -> bool,
+    ) -> Duration {
         let start = Instant::now();
-        while !self.nodes.iter().filter(|n| !n.dead).all(&holds) {
+        while !self.nodes.iter().filter(|n| !n.dead).all(&is_satisfied) {
             assert!(start.elapsed() < Duration::from_secs(30), "{what}");
             self.step();
             advance(STEP).await;
@@ -137,7 +143,7 @@
             let Some(index) = self.nodes.iter().position(|n| n.name == to && !n.dead) else {
                 continue;
             };
-            if !self.deaf.contains(&to) {
+            if !self.unreachable.contains(&to) {
                 let mut out = Vec::new();
                 self.nodes[index].sync.on_message(now, &from, message, &mut out);
                 self.carry_out(index, out);
@@ -160,7 +166,8 @@
         }
     }
 
-    /// Polls like a watcher: at once when activated or when rows changed, else after the wait.
+    /// Polls like a watcher: immediately when activated or when rows have changed, otherwise after
+    /// the wait.
     fn poll(&mut self, now: Instant, index: usize, table: TableId) -> Option<Vec<Change>> {
         let node = &mut self.nodes[index];
         let poll = &mut node.polls[table as usize];
@@ -176,13 +183,13 @@
             *poll =
                 Poll { active: true, down: false, due: now, revision: node.sync.revision(table) };
         }
-        let failing = self.store.down || node.refused;
+        let is_failing = self.store.down || node.rejected;
         let changed = poll.revision.is_some_and(|known| self.store.has_changed(table, known));
-        if now < poll.due && (poll.down || failing || !changed) {
+        if now < poll.due && (poll.down || is_failing || !changed) {
             return None;
         }
         self.store.calls += 1;
-        if failing {
+        if is_failing {
             poll.due = now + BACKOFF;
             return (!std::mem::replace(&mut poll.down, true)).then(|| vec![Change::Unavailable]);
         }
@@ -233,7 +240,7 @@
     fn apply(&mut self, table: TableId, row: Row, grace: Duration) {
         let Row { key, value, revision } = row;
         let known = self.rows.get(&(table, key.clone())).copied().unwrap_or_default();
-        assert!(revision > known, "{key} went back from {known} to {revision}");
+        assert!(revision > known, "revision of {key} decreased from {known} to {revision}");
         match value {
             Some(_) => _ = self.rows.insert((table, key), revision),
             None => {
@@ -249,7 +256,7 @@
 }
 
 impl Store {
-    /// Writes a row; its revision.
+    /// Writes a row and returns its revision.
     pub(crate) fn put(&mut self, table: TableId, key: &str) -> u64 {
         self.revision += 1;
         self.rows.insert((table, key.into()), (self.revision, true));
