--- a/crates/decide/examples/moves/load.rs
+++ b/crates/decide/examples/moves/load.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        fake::{ENTRY, NODES, Seen, World},
+        fake::{ENTRY, NODES, Observation, World},
         table::Outcome,
     },
     bilberryfront_decide::mover::{Choice, MoveId, Sample, Standing, Weights},
@@ -149,7 +149,7 @@
     }
 }
 
-/// Runs a move over six movers, with a store outage, a paused node or lost answers in some seeds.
+/// Runs a move over six movers, with a store outage, a paused_until node or lost answers in some seeds.
 pub(crate) fn run(scene: &Scene) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(scene.seed);
     let mut world = World::new(scene.seed, STEP);
@@ -161,20 +161,20 @@
         (scene.seed.is_multiple_of(5)).then(|| warm + scene.site.time * rng.random_range(0.1..0.8));
     let pause =
         (scene.seed.is_multiple_of(7)).then(|| warm + scene.site.time * rng.random_range(0.1..0.8));
-    world.loss = if scene.seed.is_multiple_of(2) { 0.02 } else { 0.0 };
+    world.response_loss = if scene.seed.is_multiple_of(2) { 0.02 } else { 0.0 };
     let mut id: Option<MoveId> = None;
     loop {
-        world.tick(&mut |_: Seen<'_>| {});
-        let at = (world.now - world.zero).as_secs_f64();
+        world.tick(&mut |_: Observation<'_>| {});
+        let at = (world.now - world.epoch).as_secs_f64();
         let within = |from: Option<f64>, span: f64| from.is_some_and(|f| at >= f && at < f + span);
         world.table.down = within(outage, 60.0);
         if within(pause, 0.1) {
             let holder = (0..NODES).find(|n| world.movers[*n].fence(world.now, ENTRY).is_some());
-            world.paused[holder.unwrap_or(0)] = world.now + Duration::from_secs(20);
+            world.paused_until[holder.unwrap_or(0)] = world.now + Duration::from_secs(20);
         }
         if id.is_none() && at >= warm {
             let time = Duration::from_secs_f64(scene.site.time);
-            let start = world.wish("v2", time, scene.weights, false);
+            let start = world.start_request("v2", time, scene.weights, false);
             match world.movers[0].start(world.now, &start) {
                 Ok(started) => id = Some(started),
                 Err(_) => {
@@ -185,7 +185,7 @@
         }
         for _ in 0..scene.arrivals(&mut rng, STEP.as_secs_f64()) {
             let node = rng.random_range(0..NODES);
-            if world.paused[node] > world.now {
+            if world.paused_until[node] > world.now {
                 continue;
             }
             let split = world.split(node);
--- a/crates/decide/tests/chart.rs
+++ b/crates/decide/tests/chart.rs
@@ -1,4 +1,4 @@
-//! Chart files are checked when they are loaded.
+//! Parsing and validation of state charts.
 
 use {
     bilberryfront_decide::{
@@ -20,54 +20,56 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Push {
+enum Button {
     Next,
     End,
 }
 
-fn parse(finals: &str, arrows: &[[&str; 3]]) -> Result<Chart<Light, Push>, ChartError> {
-    let arrow =
+fn parse(finals: &str, transitions: &[[&str; 3]]) -> Result<Chart<Light, Button>, ChartError> {
+    let transition =
         |[from, on, to]: &[&str; 3]| format!(r#"{{"from": "{from}", "on": "{on}", "to": "{to}"}}"#);
-    let arrows: Vec<String> = arrows.iter().map(arrow).collect();
-    let arrows = arrows.join(",");
-    Chart::parse(&format!(r#"{{"initial": "red", "final": [{finals}], "arrows": [{arrows}]}}"#))
+    let transitions: Vec<String> = transitions.iter().map(transition).collect();
+    let transitions = transitions.join(",");
+    Chart::parse(&format!(
+        r#"{{"initial": "red", "final": [{finals}], "arrows": [{transitions}]}}"#
+    ))
 }
 
 #[test]
-fn follows_arrows() {
-    let arrows = [["red", "next", "green"], ["green", "next", "red"], ["green", "end", "off"]];
-    let chart = parse(r#""off""#, &arrows).unwrap();
+fn follows_transitions() {
+    let transitions = [["red", "next", "green"], ["green", "next", "red"], ["green", "end", "off"]];
+    let chart = parse(r#""off""#, &transitions).unwrap();
     assert_eq!(chart.initial(), Light::Red);
-    assert_eq!(chart.next(Light::Red, Push::Next), Some(Light::Green));
-    assert_eq!(chart.next(Light::Red, Push::End), None);
+    assert_eq!(chart.next(Light::Red, Button::Next), Some(Light::Green));
+    assert_eq!(chart.next(Light::Red, Button::End), None);
     assert!(chart.is_final(Light::Off) && !chart.is_final(Light::Green));
 }
 
 #[test]
-fn refuses_a_state_without_a_way_in() {
+fn rejects_an_unreachable_state() {
     let chart = parse(r#""off""#, &[["red", "end", "off"], ["green", "next", "red"]]);
     assert_eq!(chart.unwrap_err(), ChartError::Unreachable("Green".into()));
 }
 
 #[test]
-fn refuses_a_trap() {
+fn rejects_a_non_final_state_without_transitions() {
     let chart = parse("", &[["red", "next", "green"]]);
     assert_eq!(chart.unwrap_err(), ChartError::DeadEnd("Green".into()));
 }
 
 #[test]
-fn refuses_a_way_out_of_the_end() {
+fn rejects_a_transition_from_a_final_state() {
     let chart = parse(r#""off""#, &[["red", "end", "off"], ["off", "next", "red"]]);
     assert_eq!(chart.unwrap_err(), ChartError::FinalWithExit("Off".into()));
 }
 
 #[test]
-fn refuses_unknown_names() {
+fn rejects_unknown_names() {
     assert!(matches!(parse("", &[["red", "next", "blue"]]), Err(ChartError::Syntax(_))));
 }
 
 #[test]
-fn shipped_charts_pass() {
+fn generation_chart_is_valid() {
     let generation = include_str!("../../../charts/generation.json");
     assert!(Chart::<Phase, Signal>::parse(generation).is_ok());
 }
--- a/crates/decide/tests/intent.rs
+++ b/crates/decide/tests/intent.rs
@@ -1,4 +1,5 @@
-//! Non-idempotent calls under faults: the life of a call against a naive table and runner's log.
+//! Non-idempotent calls under faults: the request state machine against a model of the table and a
+//! log of the runner.
 
 use {
     bilberryfront_decide::{
@@ -16,57 +17,57 @@
 
 const NODES: usize = 3;
 
-/// One thing that happens; requests and nodes are chosen modulo their number.
+/// An operation; requests and nodes are selected modulo their number.
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    /// A caller asks this node; one in eight sends another body under the key.
-    Ask { node: u8, body: u8 },
-    /// What this request waits for happens, well or badly.
-    Go { request: u8, fate: u8 },
-    /// A request hears the table's last answer again.
-    Again { request: u8 },
-    /// A write whose reply was lost takes effect only now.
-    Land { write: u8 },
-    /// A node dies and comes back as a new incarnation.
+    /// A caller sends a request to this node; one in eight has a different body with the same key.
+    Submit { node: u8, body: u8 },
+    /// The pending action of this request succeeds or fails.
+    Advance { request: u8, fate: u8 },
+    /// The last response of the table is delivered to this request again.
+    Redeliver { request: u8 },
+    /// A delayed write takes effect, after its reply was reported as lost.
+    ApplyDelayed { write: u8 },
+    /// A node crashes and restarts with a new incarnation.
     Crash { node: u8 },
-    /// Hours pass; rows past their retention are swept.
-    Wait { hours: u8 },
+    /// Time passes; a row past its retention is deleted.
+    Elapse { hours: u8 },
 }
 
 impl Arbitrary for Op {
     fn arbitrary(g: &mut Gen) -> Op {
         let (a, b) = (u8::arbitrary(g), u8::arbitrary(g));
         match u8::arbitrary(g) % 32 {
-            0..=5 => Op::Ask { node: a, body: b },
-            6..=25 => Op::Go { request: a, fate: b },
-            26 | 27 => Op::Again { request: a },
-            28 | 29 => Op::Land { write: a },
+            0..=5 => Op::Submit { node: a, body: b },
+            6..=25 => Op::Advance { request: a, fate: b },
+            26 | 27 => Op::Redeliver { request: a },
+            28 | 29 => Op::ApplyDelayed { write: a },
             30 => Op::Crash { node: a },
-            _ => Op::Wait { hours: b % 30 },
+            _ => Op::Elapse { hours: b % 30 },
         }
     }
 }
 
-/// A row of the naive table, and when it was made.
+/// A row of the model table and its creation time.
 #[derive(Clone)]
 struct Row {
-    found: IntentRow,
-    born: Instant,
+    stored: IntentRow,
+    created: Instant,
 }
 
 struct Node {
     incarnation: u64,
-    shelf: AbandonedClaims,
+    abandoned: AbandonedClaims,
 }
 
 struct Request {
     node: usize,
     body: &'static str,
     life: RequestLifecycle,
-    todo: Action,
-    /// The table's last answer.
-    heard: Option<Event>,
-    /// Whether the runner has this request.
+    action: Action,
+    /// Last response of the table.
+    last_event: Option<Event>,
+    /// Whether the request reached the runner.
     ran: bool,
 }
 
@@ -75,19 +76,20 @@
     claims: u64,
     nodes: Vec<Node>,
     requests: Vec<Request>,
-    /// The one key's row.
+    /// Row of the only key.
     row: Option<Row>,
-    late: Vec<IntentRow>,
-    /// Who sent the call to the runner since the row was last swept.
+    /// Writes that have not taken effect yet, although their replies were reported as lost.
+    delayed: Vec<IntentRow>,
+    /// Claims that sent the call to the runner since the row was last deleted.
     log: Vec<Owner>,
 }
 
-type Check = Result<(), String>;
+type CheckResult = Result<(), String>;
 
 impl World {
     fn new() -> World {
         let nodes = (0..NODES as u64)
-            .map(|incarnation| Node { incarnation, shelf: AbandonedClaims::default() })
+            .map(|incarnation| Node { incarnation, abandoned: AbandonedClaims::default() })
             .collect();
         World {
             now: Instant::now(),
@@ -95,34 +97,36 @@
             nodes,
             requests: Vec::new(),
             row: None,
-            late: Vec::new(),
+            delayed: Vec::new(),
             log: Vec::new(),
         }
     }
 
-    fn run(&mut self, op: Op) -> Check {
+    fn apply(&mut self, op: Op) -> CheckResult {
         match op {
-            Op::Ask { node, body } => {
+            Op::Submit { node, body } => {
                 let body = if body % 8 == 0 { "other" } else { "body" };
-                self.ask(node as usize % NODES, body, Event::Claim)
+                self.submit(node as usize % NODES, body, Event::Claim)
             }
-            Op::Go { request, fate } => self.pick(request).map_or(Ok(()), |i| self.go(i, fate)),
-            Op::Again { request } => {
+            Op::Advance { request, fate } => {
+                self.pick(request).map_or(Ok(()), |i| self.advance(i, fate))
+            }
+            Op::Redeliver { request } => {
                 let Some(i) = self.pick(request) else { return Ok(()) };
-                let Some(event) = self.requests[i].heard.clone() else { return Ok(()) };
-                self.tell(i, event)
+                let Some(event) = self.requests[i].last_event.clone() else { return Ok(()) };
+                self.step(i, event)
             }
-            Op::Land { write } if !self.late.is_empty() => {
-                let found = self.late.remove(write as usize % self.late.len());
-                self.write(found);
+            Op::ApplyDelayed { write } if !self.delayed.is_empty() => {
+                let row = self.delayed.remove(write as usize % self.delayed.len());
+                self.write(row);
                 Ok(())
             }
-            Op::Land { .. } => Ok(()),
+            Op::ApplyDelayed { .. } => Ok(()),
             Op::Crash { node } => {
                 self.crash(node as usize % NODES);
                 Ok(())
             }
-            Op::Wait { hours } => self.wait(hours),
+            Op::Elapse { hours } => self.elapse(hours),
         }
     }
 
@@ -130,64 +134,65 @@
         (!self.requests.is_empty()).then(|| request as usize % self.requests.len())
     }
 
-    fn ask(&mut self, node: usize, body: &'static str, first: Event) -> Check {
+    fn submit(&mut self, node: usize, body: &'static str, first: Event) -> CheckResult {
         self.claims += 1;
         let incarnation = Incarnation(self.nodes[node].incarnation);
         let owner = Owner { incarnation, claim: self.claims };
         let life = RequestLifecycle::new(owner, body.into(), self.now, 0);
-        let todo = Action::Finish;
-        self.requests.push(Request { node, body, life, todo, heard: None, ran: false });
-        self.tell(self.requests.len() - 1, first)
+        let action = Action::Finish;
+        self.requests.push(Request { node, body, life, action, last_event: None, ran: false });
+        self.step(self.requests.len() - 1, first)
     }
 
     fn crash(&mut self, node: usize) {
         self.requests.retain(|r| r.node != node);
         self.nodes[node].incarnation += NODES as u64;
-        self.nodes[node].shelf = AbandonedClaims::default();
+        self.nodes[node].abandoned = AbandonedClaims::default();
     }
 
-    /// No write takes hours to get to the table: the network and the committer drop it before.
-    fn wait(&mut self, hours: u8) -> Check {
+    /// Advances the time. Delayed writes are dropped, because no write takes hours to arrive: the
+    /// network or the committer drops it before.
+    fn elapse(&mut self, hours: u8) -> CheckResult {
         self.now += Duration::from_secs(3600) * u32::from(hours);
         if hours == 0 {
             return Ok(());
         }
-        self.late.clear();
+        self.delayed.clear();
         for i in 0..self.requests.len() {
-            while matches!(self.requests[i].todo, Action::Write(_)) {
+            while matches!(self.requests[i].action, Action::Write(_)) {
                 let recording = self.requests[i].life.state() == State::Recording;
                 let end = if recording { Event::GiveUp } else { Event::Failed(Fault::Down) };
-                self.tell(i, end)?;
+                self.step(i, end)?;
             }
         }
-        if self.row.as_ref().is_some_and(|r| self.now - r.born >= RETENTION) {
+        if self.row.as_ref().is_some_and(|r| self.now - r.created >= RETENTION) {
             self.row = None;
             self.log.clear();
         }
         Ok(())
     }
 
-    fn go(&mut self, i: usize, fate: u8) -> Check {
-        match self.requests[i].todo.clone() {
-            Action::Write(found) => {
-                let event = self.reach(found, fate);
-                self.hear(i, event)
+    fn advance(&mut self, i: usize, fate: u8) -> CheckResult {
+        match self.requests[i].action.clone() {
+            Action::Write(row) => {
+                let event = self.deliver_write(row, fate);
+                self.deliver(i, event)
             }
             Action::Read => {
-                let found = self.row.as_ref().map(|r| r.found.clone());
+                let row = self.row.as_ref().map(|r| r.stored.clone());
                 let event = match fate % 8 {
                     0 => Event::Failed(Fault::Lost),
                     1 => Event::Failed(Fault::Down),
-                    _ => Event::Row(found),
+                    _ => Event::Row(row),
                 };
-                self.hear(i, event)
+                self.deliver(i, event)
             }
             Action::Permit => self.send(i, fate),
-            Action::Expire => self.tell(i, Event::End(Outcome::NotRun, self.now)),
-            Action::Send => self.end(i, fate),
+            Action::Expire => self.step(i, Event::End(Outcome::NotRun, self.now)),
+            Action::Send => self.end_exchange(i, fate),
             Action::Respond(Verdict::Busy(_)) => {
                 let Request { node, body, .. } = self.requests.remove(i);
-                self.ask(node, body, Event::Look)
+                self.submit(node, body, Event::Look)
             }
             Action::Respond(_) | Action::Finish | Action::Ignore => {
                 self.requests.remove(i);
@@ -196,90 +201,90 @@
         }
     }
 
-    /// A write on its way to the table.
-    fn reach(&mut self, found: IntentRow, fate: u8) -> Event {
+    /// Delivers a write to the table, where the write or its reply may be lost or delayed.
+    fn deliver_write(&mut self, row: IntentRow, fate: u8) -> Event {
         match fate % 8 {
             0 => Event::Failed(Fault::Down),
             1 => Event::Failed(Fault::Lost),
             2 => {
-                self.write(found);
+                self.write(row);
                 Event::Failed(Fault::Lost)
             }
             3 => {
-                self.late.push(found);
+                self.delayed.push(row);
                 Event::Failed(Fault::Lost)
             }
-            _ => Event::Written(self.write(found)),
+            _ => Event::Written(self.write(row)),
         }
     }
 
-    /// The naive table: one row, written when its revision is as expected.
+    /// Writes the model's row if it has the expected revision.
     fn write(&mut self, IntentRow { revision, intent }: IntentRow) -> Written {
-        let held: RowRevision = self.row.as_ref().map_or(0, |r| r.found.revision);
-        if held != revision {
-            return Written::Conflict(held);
+        let current: RowRevision = self.row.as_ref().map_or(0, |r| r.stored.revision);
+        if current != revision {
+            return Written::Conflict(current);
         }
-        let born =
-            self.row.as_ref().filter(|_| intent.outcome.is_some()).map_or(self.now, |r| r.born);
-        self.row = Some(Row { found: IntentRow { revision: held + 1, intent }, born });
-        Written::Done(held + 1)
+        let created =
+            self.row.as_ref().filter(|_| intent.outcome.is_some()).map_or(self.now, |r| r.created);
+        self.row = Some(Row { stored: IntentRow { revision: current + 1, intent }, created });
+        Written::Done(current + 1)
     }
 
-    /// The request leaves, unless no connection can be made.
-    fn send(&mut self, i: usize, fate: u8) -> Check {
-        self.tell(i, Event::Send(self.now))?;
-        if self.requests[i].todo != Action::Send {
+    /// Sends the request to the runner; one in four fails to connect.
+    fn send(&mut self, i: usize, fate: u8) -> CheckResult {
+        self.step(i, Event::Send(self.now))?;
+        if self.requests[i].action != Action::Send {
             return Ok(());
         }
         if fate.is_multiple_of(4) {
-            return self.tell(i, Event::End(Outcome::NotRun, self.now));
+            return self.step(i, Event::End(Outcome::NotRun, self.now));
         }
         let owner = self.requests[i].life.owner();
-        let row = self.row.as_ref().map(|r| &r.found.intent);
+        let row = self.row.as_ref().map(|r| &r.stored.intent);
         if !row.is_some_and(|r| r.owner == owner && r.outcome.is_none()) {
-            return Err(format!("{owner:?} sent while the row was {row:?}"));
+            return Err(format!("{owner:?} sent the call while the row was {row:?}"));
         }
         self.log.push(owner);
         self.requests[i].ran = true;
         if self.log.len() > 1 {
-            return Err(format!("ran more than once: {:?}", self.log));
+            return Err(format!("the call ran more than once: {:?}", self.log));
         }
         Ok(())
     }
 
-    /// The exchange with the runner ends: answered, or the answer is lost.
-    fn end(&mut self, i: usize, fate: u8) -> Check {
+    /// Ends the exchange with the runner, with a response or a lost one.
+    fn end_exchange(&mut self, i: usize, fate: u8) -> CheckResult {
         let owner = self.requests[i].life.owner();
         let outcome = if fate % 4 == 1 { Outcome::Unknown } else { answer(owner) };
-        self.tell(i, Event::End(outcome, self.now))
+        self.step(i, Event::End(outcome, self.now))
     }
 
-    fn hear(&mut self, i: usize, event: Event) -> Check {
-        self.requests[i].heard = Some(event.clone());
-        self.tell(i, event)
+    fn deliver(&mut self, i: usize, event: Event) -> CheckResult {
+        self.requests[i].last_event = Some(event.clone());
+        self.step(i, event)
     }
 
-    fn tell(&mut self, i: usize, event: Event) -> Check {
+    fn step(&mut self, i: usize, event: Event) -> CheckResult {
         let request = &mut self.requests[i];
         let read = matches!(event, Event::Row(_));
-        let shelf = &mut self.nodes[request.node].shelf;
-        match request.life.step(event, shelf) {
+        let abandoned = &mut self.nodes[request.node].abandoned;
+        match request.life.step(event, abandoned) {
             Action::Ignore => Ok(()),
             Action::Respond(verdict) => {
-                request.todo = Action::Respond(verdict.clone());
-                self.said(i, &verdict, read)
+                request.action = Action::Respond(verdict.clone());
+                self.check_response(i, &verdict, read)
             }
-            todo => {
-                request.todo = todo;
+            action => {
+                request.action = action;
                 Ok(())
             }
         }
     }
 
-    /// What a caller is told is true.
-    fn said(&self, i: usize, verdict: &Verdict, read: bool) -> Check {
+    /// Checks a response to a caller against the table and the runner's log.
+    fn check_response(&self, i: usize, verdict: &Verdict, read: bool) -> CheckResult {
         let request = &self.requests[i];
-        let row = self.row.as_ref().map(|r| &r.found.intent);
+        let row = self.row.as_ref().map(|r| &r.stored.intent);
         let wrong = match verdict {
             Verdict::NotRun if read => !self.log.is_empty(),
             Verdict::NotRun | Verdict::Unclear => request.ran,
@@ -292,14 +297,14 @@
             Verdict::Busy(holder) => holder.owner == request.life.owner(),
         };
         if wrong {
-            Err(format!("said {verdict:?}, log {:?}, row {row:?}", self.log))
+            Err(format!("wrong response {verdict:?}: log {:?}, row {row:?}", self.log))
         } else {
             Ok(())
         }
     }
 }
 
-/// The runner's answer names who asked.
+/// Returns the runner's response, which identifies the claim that sent the call.
 fn answer(owner: Owner) -> Outcome {
     let body = StoredBody::Text(format!("{owner:?}"));
     Outcome::Answer(Answer { status: 200, headers: Vec::new(), body })
@@ -315,34 +320,34 @@
     }
 }
 
-fn story(ops: Vec<Op>) -> TestResult {
+fn property(ops: Vec<Op>) -> TestResult {
     let mut world = World::new();
     for (n, op) in ops.into_iter().enumerate() {
-        if let Err(text) = world.run(op) {
+        if let Err(text) = world.apply(op) {
             return TestResult::error(format!("op {n}, {op:?}: {text}"));
         }
     }
     TestResult::passed()
 }
 
-/// Callers post one transfer under one key at three nodes, again and again, while nodes die and
-/// pause, the table is down, and its replies are lost before, after and long before their effect.
-/// The runner must get it once at most, "not run" must be true when said, and every answer must be
-/// the one that the runner gave.
+/// Guards against a call that runs twice. Callers repeatedly send the same call with one key to three
+/// nodes, while nodes crash and pause, the table is unavailable, and replies are lost with the write
+/// failing, taking effect, or taking effect much later. The runner must receive the call at most
+/// once, a response "not run" must be true, and every other response must be the runner's.
 #[test]
 fn a_call_runs_at_most_once() {
-    check(story as fn(Vec<Op>) -> TestResult, 120, 1500);
+    check(property as fn(Vec<Op>) -> TestResult, 120, 1500);
 }
 
-/// The stories above must reach every state, or they prove nothing about it.
+/// Guards against a property test that doesn't cover some of the states.
 #[test]
-fn the_stories_reach_every_end() {
+fn random_operations_reach_every_final_state() {
     let mut seen = Vec::new();
     for seed in 1..=200 {
         let mut g = Gen::from_size_and_seed(120, seed);
         let mut world = World::new();
         for op in Vec::<Op>::arbitrary(&mut g) {
-            world.run(op).expect("the story above holds");
+            world.apply(op).expect("the property above holds");
             seen.extend(world.requests.iter().map(|r| r.life.state()));
         }
     }
--- a/crates/decide/tests/intent_method.rs
+++ b/crates/decide/tests/intent_method.rs
@@ -1,4 +1,4 @@
-//! Which calls may be repeated.
+//! Classification of calls by method and `Idempotency-Key`.
 
 use bilberryfront_decide::intent::{KeyError, Plan, plan};
 
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn bad_keys_are_refused() {
-    let bad = |key: &[u8]| plan("POST", Some(key)).expect_err("a bad key");
-    assert_eq!(bad(b""), KeyError::Length);
-    assert_eq!(bad(&[b'a'; 256]), KeyError::Length);
-    assert_eq!(bad(b"two words"), KeyError::Charset);
-    assert_eq!(bad("é".as_bytes()), KeyError::Charset);
+fn invalid_keys_are_rejected() {
+    let error = |key: &[u8]| plan("POST", Some(key)).expect_err("the key is invalid");
+    assert_eq!(error(b""), KeyError::Length);
+    assert_eq!(error(&[b'a'; 256]), KeyError::Length);
+    assert_eq!(error(b"two words"), KeyError::Charset);
+    assert_eq!(error("é".as_bytes()), KeyError::Charset);
     assert!(plan("POST", Some(&[b'~'; 255])).is_ok());
 }
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -1,4 +1,4 @@
-//! Membership, stepped by hand.
+//! Tests of membership in virtual time.
 
 use {
     bilberryfront_decide::{
@@ -29,12 +29,12 @@
     }
 }
 
-fn life(epoch: u64, incarnation: u64) -> NodeIncarnation {
+fn incarnation(epoch: u64, incarnation: u64) -> NodeIncarnation {
     NodeIncarnation { epoch, incarnation: Incarnation(incarnation) }
 }
 
 fn member(now: Instant, name: &str) -> Members {
-    let me = Me { name: name.into(), life: life(1, 1), location: location(name) };
+    let me = Me { name: name.into(), life: incarnation(1, 1), location: location(name) };
     let mut member = Members::new(7, now, me);
     member.ready();
     member
@@ -76,34 +76,35 @@
     urls
 }
 
-/// A member `a` that has heard from `b` once.
+/// Returns a member `a` that has received one heartbeat from `b`.
 fn pair(now: Instant) -> Members {
     let mut a = member(now, "a");
     a.apply_list(now, &list(1, &["a", "b"]));
-    a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 1, NodeState::Ready), &mut Vec::new());
+    a.on_heartbeat(now, "b", &heartbeat(incarnation(1, 1), 1, NodeState::Ready), &mut Vec::new());
     a.tick(now + MESH_INTERVAL * 2, &mut Vec::new());
     a
 }
 
-/// Ticks `a` from `now` for `time`, and returns the time after it.
+/// Ticks `a` from `now` for `time`; returns the time at the end.
 fn run(a: &mut Members, now: Instant, time: Duration, out: &mut Vec<Output>) -> Instant {
     let steps = time.as_millis() / STEP.as_millis();
     (1..=steps).for_each(|i| a.tick(now + STEP * i as u32, out));
     now + time
 }
 
-/// Some nodes in one process. Messages arrive at the next step, unless `cut` says that their sender
-/// and receiver can't reach each other.
+/// A simulated network of nodes. Messages arrive at the next step unless `cut` is true for their
+/// sender and receiver.
 struct Net {
     now: Instant,
     names: Vec<CompactString>,
     members: Vec<Members>,
     inbox: Vec<(usize, usize, PeerMessage)>,
     cut: fn(usize, usize) -> bool,
-    /// Who was told of a runner, once for each time.
+    /// Nodes that received a hint about a runner, one entry per receipt.
     hints: Vec<usize>,
-    /// Messages, and those between failure domains.
+    /// Number of messages.
     sent: usize,
+    /// Number of messages between failure domains.
     crossed: usize,
 }
 
@@ -166,38 +167,48 @@
     }
 }
 
-// The list names a node that nobody has heard of: it may be long dead, as the list lags. Callers
-// sent there would wait for a connection that never comes.
+/// Guards against addresses of dead nodes: the list lags behind, so a listed node without a heartbeat
+/// may be dead.
 #[test]
-fn a_listed_node_is_no_address_before_it_is_heard() {
+fn a_listed_node_without_a_heartbeat_is_not_in_addresses() {
     let now = Instant::now();
     let mut a = member(now, "a");
     a.apply_list(now, &list(1, &["a", "b"]));
     assert_eq!(state(&a, "b"), Some(NodeState::Unknown));
     assert_eq!(urls(&a), ["http://a"]);
-    a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 1, NodeState::Starting), &mut Vec::new());
+    a.on_heartbeat(
+        now,
+        "b",
+        &heartbeat(incarnation(1, 1), 1, NodeState::Starting),
+        &mut Vec::new(),
+    );
     assert_eq!(urls(&a), ["http://a"]);
-    a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 2, NodeState::Ready), &mut Vec::new());
+    a.on_heartbeat(now, "b", &heartbeat(incarnation(1, 1), 2, NodeState::Ready), &mut Vec::new());
     assert_eq!(urls(&a), ["http://a", "http://b"]);
 }
 
 #[test]
-fn addresses_of_the_own_domain_come_first() {
+fn addresses_of_the_local_domain_come_first() {
     let now = Instant::now();
     let mut a = member(now, "a1");
     let names = ["a1", "a2", "b1", "b2", "a3"];
     a.apply_list(now, &list(1, &names));
     for name in &names[1..] {
-        a.on_heartbeat(now, name, &heartbeat(life(1, 1), 1, NodeState::Ready), &mut Vec::new());
+        a.on_heartbeat(
+            now,
+            name,
+            &heartbeat(incarnation(1, 1), 1, NodeState::Ready),
+            &mut Vec::new(),
+        );
     }
     let domains: Vec<_> = a.addresses().into_iter().map(|x| x.domain).collect();
     assert_eq!(domains, ["domain-a", "domain-a", "domain-a", "domain-b", "domain-b"]);
 }
 
-// A node dies and the list goes on naming it. Its heartbeats stop; after the silence it is suspect,
-// and after the time to confirm callers aren't sent there any more, whatever the list says.
+/// A node dies but stays listed. It must become suspect after [`SILENCE`] and be removed from the
+/// addresses after [`CONFIRM`].
 #[test]
-fn a_silent_node_leaves_the_addresses_though_it_is_listed() {
+fn a_silent_node_is_removed_from_addresses_while_listed() {
     let start = Instant::now();
     let mut a = pair(start);
     let mut out = Vec::new();
@@ -209,14 +220,14 @@
     assert_eq!(urls(&a), ["http://a"]);
 }
 
-// The list drops a node that still sends heartbeats: the platform was wrong or early. Believing the
-// list would take a working node from the callers.
+/// Guards against the removal of a working node: the list no longer contains a node that still sends
+/// heartbeats.
 #[test]
-fn a_node_that_is_heard_stays_though_it_is_not_listed() {
+fn a_node_with_heartbeats_stays_in_addresses_while_unlisted() {
     let now = Instant::now();
     let mut a = pair(now);
     a.apply_list(now, &list(2, &["a"]));
-    a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 2, NodeState::Ready), &mut Vec::new());
+    a.on_heartbeat(now, "b", &heartbeat(incarnation(1, 1), 2, NodeState::Ready), &mut Vec::new());
     assert_eq!(urls(&a), ["http://a", "http://b"]);
 }
 
@@ -231,7 +242,7 @@
 }
 
 #[test]
-fn a_node_that_the_list_calls_leaving_is_no_address() {
+fn a_node_listed_as_leaving_is_not_in_addresses() {
     let now = Instant::now();
     let mut a = pair(now);
     let mut leaving = list(2, &["a", "b"]);
@@ -240,10 +251,10 @@
     assert_eq!(urls(&a), ["http://a"]);
 }
 
-// The store of the list is down for an hour. Nothing is taken from the addresses for that: the
-// nodes go on hearing each other, and one that dies meanwhile is still noticed.
+/// The instance list is unavailable for an hour. No node may be removed from the addresses because of
+/// that, and a node that fails afterwards must still be detected.
 #[test]
-fn an_hour_without_the_list_changes_nothing() {
+fn failure_detection_works_without_the_list() {
     let mut net = Net::new(3);
     net.run(Duration::from_secs(3_600));
     assert_eq!(net.counts(), [3, 3, 3]);
@@ -252,44 +263,55 @@
     assert_eq!(net.counts(), [2, 2, 1]);
 }
 
-// A node's connection breaks: it is suspect at once, in place of after the silence. Its next
-// heartbeat clears it, so a broken connection alone costs it nothing.
+/// A failed connection makes a node suspect immediately. Its next heartbeat must clear the suspicion,
+/// and until then it must stay in the addresses.
 #[test]
-fn a_broken_connection_makes_a_suspect_until_it_is_heard() {
+fn a_failed_connection_causes_a_suspicion_until_the_next_heartbeat() {
     let now = Instant::now();
     let mut a = pair(now);
     a.connection_failed(now, "b", &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Suspect));
     assert_eq!(urls(&a), ["http://a", "http://b"]);
-    a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 2, NodeState::Ready), &mut Vec::new());
+    a.on_heartbeat(now, "b", &heartbeat(incarnation(1, 1), 2, NodeState::Ready), &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Ready));
 }
 
-// A node restarts under its name. A heartbeat of its former life was held up in the network and
-// arrives after the first of the new one. Taken, it would bring back the old state.
+/// Guards against a delayed heartbeat of a former incarnation that arrives after the first one of the
+/// new incarnation and would restore the old state.
 #[test]
-fn a_late_heartbeat_of_an_older_life_is_ignored() {
+fn a_late_heartbeat_out_an_older_incarnation_is_ignored() {
     let now = Instant::now();
     let mut a = pair(now);
-    a.on_heartbeat(now, "b", &heartbeat(life(2, 9), 1, NodeState::Starting), &mut Vec::new());
-    a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 50, NodeState::Ready), &mut Vec::new());
+    a.on_heartbeat(
+        now,
+        "b",
+        &heartbeat(incarnation(2, 9), 1, NodeState::Starting),
+        &mut Vec::new(),
+    );
+    a.on_heartbeat(now, "b", &heartbeat(incarnation(1, 1), 50, NodeState::Ready), &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Starting));
-    a.on_heartbeat(now, "b", &heartbeat(life(2, 9), 2, NodeState::Ready), &mut Vec::new());
+    a.on_heartbeat(now, "b", &heartbeat(incarnation(2, 9), 2, NodeState::Ready), &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Ready));
 }
 
-// A node restarts with its clock set back, so that its new life passes for the older one. The one
-// that hears it says so, and the node raises its epoch; otherwise nobody would ever believe it.
+/// A node restarts with its clock set back, so that its new incarnation appears to be the older one.
+/// The receiver must reply with its claim, and the node must raise its epoch; otherwise its heartbeats
+/// would be ignored permanently.
 #[test]
-fn a_life_that_passes_for_older_is_told_and_goes_on() {
+fn a_restart_with_an_older_clock_raises_the_epoch() {
     let now = Instant::now();
     let mut a = pair(now);
     let mut b = member(now, "b");
     b.apply_list(now, &list(1, &["a", "b"]));
-    a.on_heartbeat(now, "b", &heartbeat(life(5, 5), 1, NodeState::Ready), &mut Vec::new());
-    a.on_heartbeat(now, "b", &heartbeat(life(5, 5), 2, NodeState::Draining), &mut Vec::new());
+    a.on_heartbeat(now, "b", &heartbeat(incarnation(5, 5), 1, NodeState::Ready), &mut Vec::new());
+    a.on_heartbeat(
+        now,
+        "b",
+        &heartbeat(incarnation(5, 5), 2, NodeState::Draining),
+        &mut Vec::new(),
+    );
     let mut out = Vec::new();
-    a.on_heartbeat(now, "b", &heartbeat(life(1, 1), 1, NodeState::Ready), &mut out);
+    a.on_heartbeat(now, "b", &heartbeat(incarnation(1, 1), 1, NodeState::Ready), &mut out);
     assert_eq!(state(&a, "b"), Some(NodeState::Draining));
     let [Output::Send { to, message }] = &out[..] else { panic!("{out:?}") };
     assert_eq!(to[0], Target { name: "b".into(), address: "b:1".into() });
@@ -301,17 +323,16 @@
     assert_eq!(state(&a, "b"), Some(NodeState::Ready));
 }
 
-// Another node lost its way to this one and says that it is gone. This one hears that and says at
-// once that it isn't, so the wrong word doesn't last.
+/// A node that receives a false claim that it is gone must refute it.
 #[test]
-fn a_node_that_is_called_gone_contradicts() {
+fn a_node_refutes_a_claim_that_it_is_gone() {
     let now = Instant::now();
     let mut a = pair(now);
     let claim = |moment, state| Claim { name: "a".into(), moment, state, location: None };
-    let before = Moment { life: life(1, 1), beat: 1 };
-    let mut rumour = heartbeat(life(1, 1), 2, NodeState::Ready);
-    rumour.updates = vec![Update::Node(claim(before, NodeState::Gone))];
-    a.on_heartbeat(now, "b", &rumour, &mut Vec::new());
+    let before = Moment { life: incarnation(1, 1), beat: 1 };
+    let mut beat = heartbeat(incarnation(1, 1), 2, NodeState::Ready);
+    beat.updates = vec![Update::Node(claim(before, NodeState::Gone))];
+    a.on_heartbeat(now, "b", &beat, &mut Vec::new());
     let mut out = Vec::new();
     run(&mut a, now + MESH_INTERVAL * 2, Duration::from_secs(1), &mut out);
     let said = out.iter().any(|o| {
@@ -324,10 +345,10 @@
     assert!(said, "{out:?}");
 }
 
-// The process is frozen for a minute. When it wakes, all others seem overdue, through no fault of
-// theirs. Callers must still be sent to them.
+/// Guards against false suspicions after a pause: the process is suspended for a minute, so that the
+/// heartbeats of all other nodes appear overdue when it resumes.
 #[test]
-fn a_pause_of_this_process_is_not_the_silence_of_others() {
+fn a_pause_of_this_process_causes_no_suspicion() {
     let start = Instant::now();
     let mut a = pair(start);
     let now = start + Duration::from_secs(60);
@@ -336,8 +357,8 @@
     assert_eq!(urls(&a), ["http://a", "http://b"]);
 }
 
-// A region is cut in two. Each side drops the other within seconds and keeps its own. When the cut
-// heals, the sides find each other without the list and without a restart.
+/// A partition splits a region. Each side must remove the nodes of the other side within seconds, and
+/// both must merge again after the partition without a new list or a restart.
 #[test]
 fn a_partition_heals() {
     let mut net = Net::new(6);
@@ -351,7 +372,7 @@
     assert_eq!(net.counts(), [6; 6]);
 }
 
-// As above, in a system where no node sends to all others: what a side learns must also spread.
+/// Like [`a_partition_heals`], with so many nodes that no node sends to all others.
 #[test]
 fn a_partition_of_many_nodes_heals() {
     let mut net = Net::new(40);
@@ -366,10 +387,10 @@
     assert_eq!(net.counts(), [40; 40]);
 }
 
-// Only the way between two nodes is cut, both ways. Others hear both of them and contradict, so
-// neither is taken from any address answer for longer than the next news.
+/// Only the link between two nodes fails, in both directions. The other nodes receive heartbeats from
+/// both and must refute the suspicions, so that neither node is removed from any addresses.
 #[test]
-fn one_broken_way_takes_nobody_out() {
+fn a_failed_link_removes_no_node() {
     let mut net = Net::new(6);
     net.run(Duration::from_secs(2));
     net.cut = |from, to| from + to == 1;
@@ -379,41 +400,42 @@
     }
 }
 
-// A leaving node, or one without a catalogue, falls silent. As a suspect it must not come back into
-// the addresses for the time to confirm: it would refuse what it is sent.
+/// Guards against addresses of nodes that reject requests: a suspect that was draining or starting
+/// must not be in the addresses.
 #[test]
-fn a_suspect_that_was_not_ready_is_no_address() {
+fn a_suspect_that_was_not_ready_is_not_in_addresses() {
     for before in [NodeState::Draining, NodeState::Starting] {
         let start = Instant::now();
         let mut a = member(start, "a");
         a.apply_list(start, &list(1, &["a", "b"]));
-        a.on_heartbeat(start, "b", &heartbeat(life(1, 1), 1, before), &mut Vec::new());
+        a.on_heartbeat(start, "b", &heartbeat(incarnation(1, 1), 1, before), &mut Vec::new());
         run(&mut a, start, MESH_INTERVAL * 2 + SILENCE, &mut Vec::new());
         assert_eq!(state(&a, "b"), Some(NodeState::Suspect));
         assert_eq!(urls(&a), ["http://a"]);
     }
 }
 
-// A listed node that nobody has heard of was listed with a wrong address, which is then put right.
-// Heartbeats must go to the new one, or the two never meet.
+/// A node without a heartbeat was listed with a wrong address, which a later list corrects. Heartbeats
+/// must be sent to the new address.
 #[test]
-fn the_list_corrects_the_address_of_an_unheard_node() {
+fn the_list_corrects_the_address_out_a_node_without_a_heartbeat() {
     let now = Instant::now();
     let mut a = member(now, "a");
     a.apply_list(now, &list(1, &["a", "b"]));
-    let mut right = list(2, &["a", "b"]);
-    right.instances[1].peer = Some("10.0.0.2:2".into());
-    a.apply_list(now, &right);
+    let mut corrected = list(2, &["a", "b"]);
+    corrected.instances[1].peer = Some("10.0.0.2:2".into());
+    a.apply_list(now, &corrected);
     let mut out = Vec::new();
     run(&mut a, now, MESH_INTERVAL * 2, &mut out);
     let Some(Output::Send { to, .. }) = out.first() else { panic!("{out:?}") };
     assert_eq!(to[0], Target { name: "b".into(), address: "10.0.0.2:2".into() });
 }
 
-// As above among many nodes, where most know the two by hearsay only. If they were told of the
-// suspicion before those who hear the node were asked, they would drop it.
+/// Like [`a_failed_link_removes_no_node`], with many nodes, most of which don't receive heartbeats
+/// from the two. They would remove a suspect if the suspicion was gossiped before its watchers had
+/// time to refute it.
 #[test]
-fn one_broken_way_among_many_takes_nobody_out() {
+fn a_failed_link_among_many_nodes_removes_no_node() {
     let mut net = Net::new(40);
     net.run(Duration::from_secs(20));
     assert_eq!(net.counts(), [40; 40]);
@@ -428,18 +450,18 @@
     }
 }
 
-// A node is lost. One that has it as gone hears that it was still suspected at a later moment. That
-// must go on to others: one of them may hold that later moment as the last good word, and would
-// send callers to the lost node for as long as nobody tells it of that moment.
+/// A node that considers another one gone receives a suspicion of it with a later moment. It must
+/// gossip that moment: other nodes may still consider the lost node ready at that moment, and would
+/// keep it in their addresses.
 #[test]
-fn a_later_suspicion_of_a_lost_node_goes_on() {
+fn a_later_suspicion_out_a_lost_node_is_gossiped() {
     let now = Instant::now();
     let mut a = pair(now);
     let claim = |beat, state| {
-        let moment = Moment { life: life(1, 1), beat };
+        let moment = Moment { life: incarnation(1, 1), beat };
         Update::Node(Claim { name: "c".into(), moment, state, location: None })
     };
-    let mut beat = heartbeat(life(1, 1), 2, NodeState::Ready);
+    let mut beat = heartbeat(incarnation(1, 1), 2, NodeState::Ready);
     beat.updates = vec![claim(1, NodeState::Gone)];
     a.on_heartbeat(now, "b", &beat, &mut Vec::new());
     let later = run(&mut a, now + MESH_INTERVAL * 2, SILENCE, &mut Vec::new());
@@ -454,32 +476,32 @@
     assert!(said, "{out:?}");
 }
 
-// A false word made `a` take `b` for gone, and the word against it got lost. Nobody else holds it
-// gone, so nobody talks of it any more. `a` asks `b` itself now and then, and has it back.
+/// `a` considers `b` gone because of a false claim, and the refutation was lost. No other node
+/// considers `b` gone, so there is no further gossip about it. The probes by `a` must restore `b`.
 #[test]
-fn a_node_wrongly_held_gone_is_asked_itself() {
+fn a_node_wrongly_considered_gone_is_restored_by_probes() {
     let now = Instant::now();
     let mut a = pair(now);
     let mut b = member(now, "b");
     b.apply_list(now, &list(1, &["a", "b"]));
-    let moment = Moment { life: life(1, 1), beat: 1 };
+    let moment = Moment { life: incarnation(1, 1), beat: 1 };
     a.receive(now, "b", &PeerMessage::Leave(moment), &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Gone));
-    let (mut asked, mut answer) = (Vec::new(), Vec::new());
-    let later = run(&mut a, now + MESH_INTERVAL * 2, Duration::from_secs(2), &mut asked);
-    for output in &asked {
+    let (mut sent, mut reply) = (Vec::new(), Vec::new());
+    let later = run(&mut a, now + MESH_INTERVAL * 2, Duration::from_secs(2), &mut sent);
+    for output in &sent {
         let Output::Send { message, .. } = output else { continue };
         if !matches!(message, PeerMessage::Heartbeat(_)) {
-            b.receive(later, "a", message, &mut answer);
+            b.receive(later, "a", message, &mut reply);
         }
     }
-    let Some(Output::Send { message, .. }) = answer.first() else { panic!("{answer:?}") };
+    let Some(Output::Send { message, .. }) = reply.first() else { panic!("{reply:?}") };
     a.receive(later, "b", message, &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Ready));
 }
 
 #[test]
-fn a_draining_node_leaves_the_addresses_of_all() {
+fn a_draining_node_is_removed_from_all_addresses() {
     let mut net = Net::new(6);
     net.run(Duration::from_secs(2));
     let now = net.now;
@@ -494,7 +516,7 @@
 }
 
 #[test]
-fn a_revision_is_pulled_once_from_whoever_has_it() {
+fn a_revision_is_pulled_once_from_its_sender() {
     let now = Instant::now();
     let mut a = pair(now);
     let mut out = Vec::new();
@@ -514,23 +536,23 @@
 }
 
 #[test]
-fn a_hint_reaches_all_once() {
+fn a_hint_reaches_every_node_once() {
     let mut net = Net::new(20);
     net.run(Duration::from_secs(5));
     let hint = Hint { runner: "r".into(), kind: HintKind::Lost };
     net.members[0].hint(net.now, &hint);
     net.run(Duration::from_secs(5));
-    let told = |to| net.hints.iter().filter(|i| **i == to).count();
-    assert!((1..20).all(|to| told(to) == 1), "{:?}", net.hints);
+    let receipts = |node| net.hints.iter().filter(|i| **i == node).count();
+    assert!((1..20).all(|node| receipts(node) == 1), "{:?}", net.hints);
 }
 
-// A node is cut off. Those it can't hear may be serving on the other side, so their shares of the
-// limits stay theirs for as long as they are listed.
+/// Guards against exceeded limits in a partition: a disconnected node must continue to count the
+/// listed nodes, which may be serving on the other side and use their share of the limits.
 #[test]
-fn lost_nodes_keep_their_share_while_they_are_listed() {
+fn lost_nodes_keep_their_share_of_limits_while_listed() {
     let start = Instant::now();
     let mut a = pair(start);
-    let mut beat = heartbeat(life(1, 1), 2, NodeState::Ready);
+    let mut beat = heartbeat(incarnation(1, 1), 2, NodeState::Ready);
     beat.usage = vec![Usage { entry: "e".into(), account: "c".into(), running: 3 }];
     a.on_heartbeat(start, "b", &beat, &mut Vec::new());
     assert_eq!(a.usage(start).nodes, 1);
@@ -544,7 +566,7 @@
 }
 
 #[test]
-fn a_node_that_is_gone_and_unlisted_is_forgotten_in_the_end() {
+fn a_gone_and_unlisted_node_is_forgotten() {
     let start = Instant::now();
     let mut a = pair(start);
     let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE * 2, &mut Vec::new());
@@ -555,17 +577,18 @@
 }
 
 #[test]
-fn equal_seeds_act_equally() {
+fn equal_seeds_give_equal_outputs() {
     let now = Instant::now();
     let (mut a, mut b) = (pair(now), pair(now));
-    let (mut of_a, mut of_b) = (Vec::new(), Vec::new());
-    run(&mut a, now + Duration::from_secs(1), Duration::from_secs(10), &mut of_a);
-    run(&mut b, now + Duration::from_secs(1), Duration::from_secs(10), &mut of_b);
-    assert_eq!(of_a, of_b);
+    let (mut out_a, mut out_b) = (Vec::new(), Vec::new());
+    run(&mut a, now + Duration::from_secs(1), Duration::from_secs(10), &mut out_a);
+    run(&mut b, now + Duration::from_secs(1), Duration::from_secs(10), &mut out_b);
+    assert_eq!(out_a, out_b);
 }
 
-/// Load: a hundred nodes in three domains, and three hundred in five. Most heartbeats stay in their
-/// domain, and a node's number of messages grows with the logarithm only.
+/// Guards against excessive traffic in large deployments: with 100 nodes in three domains and 300 in
+/// five, at least half of the messages must stay within a domain, and the message rate per node must
+/// grow only with the logarithm of the number of nodes.
 #[test]
 fn most_heartbeats_stay_in_their_domain() {
     for (size, domains) in [(100, "abc"), (300, "abcde")] {
@@ -575,15 +598,20 @@
         assert_eq!(net.counts(), vec![size; size]);
         (net.sent, net.crossed) = (0, 0);
         net.run(Duration::from_secs(5));
-        assert!(net.crossed * 2 <= net.sent, "{} of {} cross", net.crossed, net.sent);
+        assert!(
+            net.crossed * 2 <= net.sent,
+            "{} of {} messages are sent to another domain",
+            net.crossed,
+            net.sent
+        );
         let rate = net.sent as f64 / size as f64 / 5.0;
-        assert!(rate <= 2.5 * (size as f64).log2(), "{rate} messages a second and node");
+        assert!(rate <= 2.5 * (size as f64).log2(), "{rate} messages per second and node");
     }
 }
 
-/// Guards against callers being sent to nodes of a domain that is lost as a whole.
+/// Guards against addresses of nodes in a failure domain that was lost as a whole.
 #[test]
-fn a_lost_domain_of_many_nodes_is_noticed() {
+fn the_loss_of_a_large_domain_is_detected() {
     let domain = |i: usize| "abcde".as_bytes()[i % 5] as char;
     let mut net = Net::of((0..150).map(|i| format_compact!("{}{i}", domain(i))).collect());
     net.run(Duration::from_secs(5));
@@ -594,9 +622,9 @@
     assert!(others.clone().all(|(_, n)| *n == 120), "{counts:?}");
 }
 
-/// Guards against nodes that join later and stay unknown to most: only some nodes read the list.
+/// Guards against late joiners that stay unknown to most nodes because only some nodes read the list.
 #[test]
-fn a_node_that_few_have_listed_becomes_known_to_all() {
+fn a_node_listed_by_few_becomes_known_to_all() {
     const OLD: usize = 60;
     let domain = |i: usize| "abc".as_bytes()[i % 3] as char;
     let names: Vec<CompactString> =
--- a/crates/decide/tests/member_drain.rs
+++ b/crates/decide/tests/member_drain.rs
@@ -1,4 +1,4 @@
-//! A node's own leaving.
+//! Draining of the local node.
 
 use {
     bilberryfront_decide::member::{Drain, DrainState},
@@ -8,11 +8,11 @@
 
 const TTL: Duration = Duration::from_secs(10);
 
-// A node is told to leave while callers hold address answers that name it, and a stream runs for
-// an hour. It vanishes from new answers at once, serves until the last older answer has lapsed, and
-// exits only when the stream has ended.
+/// A node drains while callers hold address responses that contain it, and a stream runs for an hour.
+/// It must be removed from new responses immediately, serve until the last earlier response has
+/// expired, and exit only after the end of the stream.
 #[test]
-fn a_leaving_node_serves_until_its_answers_have_lapsed() {
+fn a_draining_node_serves_until_its_address_responses_have_expired() {
     let start = Instant::now();
     let mut drain = Drain::new(TTL);
     assert!(drain.accepts(start) && drain.listed());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn leaving_twice_does_not_extend_the_time() {
+fn draining_twice_does_not_extend_the_time() {
     let start = Instant::now();
     let mut drain = Drain::new(TTL);
     drain.leave(start);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_node_in_service_never_finishes() {
+fn a_node_that_is_not_draining_never_finishes() {
     let start = Instant::now();
     let mut drain = Drain::new(TTL);
     assert!(!drain.finished(start + TTL * 100, 0));
--- a/crates/decide/tests/mover/fake.rs
+++ b/crates/decide/tests/mover/fake.rs
@@ -1,4 +1,4 @@
-//! Six movers, a fake table and a fake net between them, stepped without a clock.
+//! Simulation of six movers with a fake table and a fake network, in virtual time.
 
 use {
     bilberryfront_decide::{
@@ -18,14 +18,14 @@
 pub(crate) const NODES: usize = 6;
 pub(crate) const WALL: Millis = 1_800_000_000_000;
 
-/// The table service: rows with revisions.
+/// Fake of the table service: rows with revisions.
 #[derive(Default)]
 pub(crate) struct FakeTable {
     pub(crate) rows: BTreeMap<CompactString, (u64, String)>,
     pub(crate) down: bool,
-    /// Whether every second read answers with each row's value before the last write.
+    /// Whether every second read returns the rows as they were before their last write.
     pub(crate) stale: bool,
-    before: BTreeMap<CompactString, (u64, String)>,
+    previous: BTreeMap<CompactString, (u64, String)>,
     reads: u64,
 }
 
@@ -33,7 +33,7 @@
     pub(crate) fn read(&mut self, read: &Read) -> Option<Rows> {
         self.reads += 1;
         let stale = self.stale && self.reads.is_multiple_of(2);
-        let rows = if stale { &self.before } else { &self.rows };
+        let rows = if stale { &self.previous } else { &self.rows };
         let find = |key: &CompactString| {
             let (revision, value) = rows.get(key)?;
             Some(Row { key: key.clone(), revision: *revision, value: value.clone() })
@@ -59,7 +59,7 @@
         for (write, before) in commit.writes.iter().zip(before) {
             let value = write.value.clone().expect("rows are never deleted");
             let old = self.rows.insert(write.key.clone(), (before + 1, value));
-            old.into_iter().for_each(|o| _ = self.before.insert(write.key.clone(), o));
+            old.into_iter().for_each(|o| _ = self.previous.insert(write.key.clone(), o));
         }
         Some(Committed { results })
     }
@@ -70,104 +70,111 @@
     }
 }
 
-/// Something on its way.
+/// A message in transit.
 enum Packet {
     Read(u64, Read),
     Commit(u64, Commit),
     Rows(u64, Rows),
     Committed(u64, Commit, Committed),
-    News(MoveUpdate),
+    Update(MoveUpdate),
 }
 
-struct Flight {
+struct Delivery {
     at: Instant,
     node: usize,
-    life: Incarnation,
+    incarnation: Incarnation,
     packet: Packet,
 }
 
-/// What a test wants to see as it happens.
-pub(crate) enum Seen<'a> {
-    /// A node's commit changed the row of the move; `holder` had the lease before.
+/// An event that is reported to the test.
+pub(crate) enum Observation<'a> {
+    /// A node's commit changed the move's row; `holder` held the lease before.
     Change {
-        life: Incarnation,
+        incarnation: Incarnation,
         before: Option<&'a (u64, MoveRow)>,
         after: &'a (u64, MoveRow),
         holder: Option<Incarnation>,
     },
-    /// The node got the row.
+    /// The node received the row.
     Row { node: usize, row: &'a MoveRow },
-    /// The node got a peer's news.
-    News { node: usize, news: &'a MoveUpdate },
+    /// The node received a peer's message.
+    Update { node: usize, update: &'a MoveUpdate },
 }
 
 pub(crate) struct World {
-    pub(crate) zero: Instant,
+    pub(crate) epoch: Instant,
     pub(crate) now: Instant,
     pub(crate) step: Duration,
     pub(crate) table: FakeTable,
     pub(crate) movers: Vec<Mover>,
-    pub(crate) lives: Vec<Incarnation>,
-    /// Until when a node stands still.
-    pub(crate) paused: Vec<Instant>,
-    /// Until when a node reaches neither table nor peers.
-    pub(crate) cut: Vec<Instant>,
-    /// Part of the table's answers that is lost after the effect.
-    pub(crate) loss: f64,
-    /// A node whose commits arrive only at this time.
-    pub(crate) held: Option<(usize, Instant)>,
-    /// Longest time on the way.
-    pub(crate) delay: Duration,
+    pub(crate) incarnations: Vec<Incarnation>,
+    /// Time until which each node is paused.
+    pub(crate) paused_until: Vec<Instant>,
+    /// Time until which each node is disconnected from the table and its peers.
+    pub(crate) partitioned_until: Vec<Instant>,
+    /// Fraction of the table's responses that are lost, after the request took effect.
+    pub(crate) response_loss: f64,
+    /// A node whose commits arrive at this time at the earliest.
+    pub(crate) delayed_commits: Option<(usize, Instant)>,
+    /// Maximum time in transit.
+    pub(crate) max_delay: Duration,
     pub(crate) catalog: CompactString,
     pub(crate) started: Vec<(MoveId, bool)>,
-    flights: Vec<Flight>,
+    in_flight: Vec<Delivery>,
     rng: SmallRng,
 }
 
 impl World {
     pub(crate) fn new(seed: u64, step: Duration) -> World {
         let now = Instant::now();
-        let lives: Vec<Incarnation> = (0..NODES as u64).map(|n| Incarnation(n + 1)).collect();
+        let incarnations: Vec<Incarnation> =
+            (0..NODES as u64).map(|n| Incarnation(n + 1)).collect();
         let mut world = World {
-            zero: now,
+            epoch: now,
             now,
             step,
             table: FakeTable::default(),
             movers: Vec::new(),
-            paused: vec![now; NODES],
-            cut: vec![now; NODES],
-            loss: 0.0,
-            held: None,
-            delay: Duration::from_millis(50),
+            paused_until: vec![now; NODES],
+            partitioned_until: vec![now; NODES],
+            response_loss: 0.0,
+            delayed_commits: None,
+            max_delay: Duration::from_millis(50),
             catalog: "v1".into(),
             started: Vec::new(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            lives,
+            incarnations,
         };
         for node in 0..NODES {
-            let mover = world.mover(world.lives[node], seed);
+            let mover = world.mover(world.incarnations[node], seed);
             world.movers.push(mover);
         }
         world
     }
 
     fn mover(&self, me: Incarnation, seed: u64) -> Mover {
-        let wall = WALL + (self.now - self.zero).as_millis() as Millis;
+        let wall = WALL + (self.now - self.epoch).as_millis() as Millis;
         let mut mover = Mover::new(me, seed ^ (me.0 << 32), self.now, wall);
-        mover.set_peers(&self.lives);
+        mover.set_peers(&self.incarnations);
         mover.set_version(self.now, ENTRY, &self.catalog);
         mover
     }
 
-    /// Milliseconds since the start.
-    pub(crate) fn since(&self) -> Millis {
-        (self.now - self.zero).as_millis() as Millis
+    /// Returns the milliseconds since the start.
+    pub(crate) fn elapsed_ms(&self) -> Millis {
+        (self.now - self.epoch).as_millis() as Millis
     }
 
-    /// A start of a move to `to` that has `time` left.
-    pub(crate) fn wish(&self, to: &str, time: Duration, weights: Weights, force: bool) -> Start {
-        let by = WALL + self.since() + time.as_millis() as Millis;
+    /// Returns a request to start a move to `to` with `time` until its deadline.
+    pub(crate) fn start_request(
+        &self,
+        to: &str,
+        time: Duration,
+        weights: Weights,
+        force: bool,
+    ) -> Start {
+        let by = WALL + self.elapsed_ms() + time.as_millis() as Millis;
         Start { entry: ENTRY.into(), to: to.into(), by, weights, force }
     }
 
@@ -175,58 +182,59 @@
         self.movers[node].split(self.now, ENTRY)
     }
 
-    /// The share that a node gives the new version now.
+    /// Returns the new version's current share at a node.
     pub(crate) fn share(&self, node: usize) -> u16 {
         self.split(node).map_or(0, |s| s.share(self.now).0)
     }
 
-    /// How the table has the move.
+    /// Returns the move's progress according to the table.
     pub(crate) fn standing(&self) -> Option<Standing> {
         self.table.row().map(|(_, row)| row.standing)
     }
 
-    /// Replaces a node: a new life that knows nothing.
+    /// Replaces a node by a new incarnation without state.
     pub(crate) fn restart(&mut self, node: usize) {
-        self.lives[node] = Incarnation(self.lives[node].0 + 100);
-        self.movers[node] = self.mover(self.lives[node], self.lives[node].0);
-        self.paused[node] = self.now;
-        self.movers.iter_mut().for_each(|m| m.set_peers(&self.lives));
+        self.incarnations[node] = Incarnation(self.incarnations[node].0 + 100);
+        self.movers[node] = self.mover(self.incarnations[node], self.incarnations[node].0);
+        self.paused_until[node] = self.now;
+        self.movers.iter_mut().for_each(|m| m.set_peers(&self.incarnations));
     }
 
-    /// Goes on by one step.
-    pub(crate) fn tick(&mut self, seen: &mut impl FnMut(Seen<'_>)) {
+    /// Advances the time by one step.
+    pub(crate) fn tick(&mut self, observe: &mut impl FnMut(Observation<'_>)) {
         self.now += self.step;
         let now = self.now;
-        let ready = |f: &Flight, paused: &[Instant]| {
-            let asks = matches!(f.packet, Packet::Read(..) | Packet::Commit(..));
-            f.at <= now && (asks || paused[f.node] <= now)
+        let is_due = |d: &Delivery, paused_until: &[Instant]| {
+            let is_request = matches!(d.packet, Packet::Read(..) | Packet::Commit(..));
+            d.at <= now && (is_request || paused_until[d.node] <= now)
         };
-        let (due, rest) =
-            std::mem::take(&mut self.flights).into_iter().partition(|f| ready(f, &self.paused));
-        self.flights = rest;
-        let due: Vec<Flight> = due;
-        due.into_iter().for_each(|f| self.arrive(f, seen));
-        for node in (0..NODES).filter(|n| self.paused[*n] <= now).collect::<Vec<_>>() {
+        let (due, rest) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(|d| is_due(d, &self.paused_until));
+        self.in_flight = rest;
+        let due: Vec<Delivery> = due;
+        due.into_iter().for_each(|d| self.deliver(d, observe));
+        for node in (0..NODES).filter(|n| self.paused_until[*n] <= now).collect::<Vec<_>>() {
             let mut out = Vec::new();
             self.movers[node].tick(now, &mut out);
             out.into_iter().for_each(|o| self.send(node, o));
         }
     }
 
-    fn fly(&mut self, node: usize, life: Incarnation, packet: Packet) {
-        let delay = self.rng.random_range(0..=self.delay.as_millis() as u64);
+    fn enqueue(&mut self, node: usize, incarnation: Incarnation, packet: Packet) {
+        let delay = self.rng.random_range(0..=self.max_delay.as_millis() as u64);
         let mut at = self.now + Duration::from_millis(delay);
-        if let (Some((held, until)), Packet::Commit(..)) = (self.held, &packet)
-            && held == node
+        if let (Some((delayed, until)), Packet::Commit(..)) = (self.delayed_commits, &packet)
+            && delayed == node
         {
             at = at.max(until);
         }
-        self.flights.push(Flight { at, node, life, packet });
+        self.in_flight.push(Delivery { at, node, incarnation, packet });
     }
 
     fn send(&mut self, node: usize, output: Output) {
-        let cut = |n: usize| self.cut[n] > self.now;
-        let life = self.lives[node];
+        let is_cut_off = |n: usize| self.partitioned_until[n] > self.now;
+        let incarnation = self.incarnations[node];
         match output {
             Output::Started { id, result } => self.started.push((id, result.is_ok())),
             Output::Adopt { version, .. } => {
@@ -234,31 +242,35 @@
                 let movers = self.movers.iter_mut();
                 movers.for_each(|m| m.set_version(self.now, ENTRY, &self.catalog));
             }
-            _ if cut(node) => {}
-            Output::Read { number, read } => self.fly(node, life, Packet::Read(number, read)),
+            _ if is_cut_off(node) => {}
+            Output::Read { number, read } => {
+                self.enqueue(node, incarnation, Packet::Read(number, read))
+            }
             Output::Commit { number, commit } => {
-                self.fly(node, life, Packet::Commit(number, commit));
+                self.enqueue(node, incarnation, Packet::Commit(number, commit));
             }
-            Output::Broadcast(news) => {
-                let peers: Vec<usize> = (0..NODES).filter(|n| *n != node && !cut(*n)).collect();
+            Output::Broadcast(update) => {
+                let peers: Vec<usize> =
+                    (0..NODES).filter(|n| *n != node && !is_cut_off(*n)).collect();
                 for peer in peers {
-                    self.fly(peer, self.lives[peer], Packet::News(news.clone()));
+                    self.enqueue(peer, self.incarnations[peer], Packet::Update(update.clone()));
                 }
             }
         }
     }
 
-    fn arrive(
+    fn deliver(
         &mut self,
-        Flight { node, life, packet, .. }: Flight,
-        seen: &mut impl FnMut(Seen<'_>),
+        Delivery { node, incarnation, packet, .. }: Delivery,
+        observe: &mut impl FnMut(Observation<'_>),
     ) {
-        let lost = self.rng.random_bool(self.loss) || self.cut[node] > self.now;
-        let gone = self.lives[node] != life;
+        let response_is_lost =
+            self.rng.random_bool(self.response_loss) || self.partitioned_until[node] > self.now;
+        let is_replaced = self.incarnations[node] != incarnation;
         match packet {
             Packet::Read(number, read) => {
-                if let (Some(rows), false) = (self.table.read(&read), lost) {
-                    self.fly(node, life, Packet::Rows(number, rows));
+                if let (Some(rows), false) = (self.table.read(&read), response_is_lost) {
+                    self.enqueue(node, incarnation, Packet::Rows(number, rows));
                 }
             }
             Packet::Commit(number, commit) => {
@@ -268,17 +280,22 @@
                 if let Some(after) =
                     self.table.row().filter(|a| Some(a.0) != before.as_ref().map(|b| b.0))
                 {
-                    seen(Seen::Change { life, before: before.as_ref(), after: &after, holder });
+                    observe(Observation::Change {
+                        incarnation,
+                        before: before.as_ref(),
+                        after: &after,
+                        holder,
+                    });
                 }
-                if let (Some(answer), false) = (answer, lost) {
-                    self.fly(node, life, Packet::Committed(number, commit, answer));
+                if let (Some(answer), false) = (answer, response_is_lost) {
+                    self.enqueue(node, incarnation, Packet::Committed(number, commit, answer));
                 }
             }
-            _ if gone => {}
+            _ if is_replaced => {}
             Packet::Rows(number, rows) => {
-                for found in rows.rows.iter().filter(|r| r.key.starts_with("move/")) {
-                    let row = MoveRow::parse(&found.value).expect("written by a mover");
-                    seen(Seen::Row { node, row: &row });
+                for read in rows.rows.iter().filter(|r| r.key.starts_with("move/")) {
+                    let row = MoveRow::parse(&read.value).expect("written by a mover");
+                    observe(Observation::Row { node, row: &row });
                 }
                 self.movers[node].rows(self.now, number, Some(&rows));
             }
@@ -287,14 +304,14 @@
                     if let (true, Written::Done(_)) = (write.key.starts_with("move/"), done) {
                         let value = write.value.as_ref().expect("rows are never deleted");
                         let row = MoveRow::parse(value).expect("written by a mover");
-                        seen(Seen::Row { node, row: &row });
+                        observe(Observation::Row { node, row: &row });
                     }
                 }
                 self.movers[node].committed(self.now, number, Some(&answer));
             }
-            Packet::News(news) => {
-                seen(Seen::News { node, news: &news });
-                self.movers[node].receive(self.now, &news);
+            Packet::Update(update) => {
+                observe(Observation::Update { node, update: &update });
+                self.movers[node].receive(self.now, &update);
             }
         }
     }
--- a/crates/decide/tests/mover/lattice.rs
+++ b/crates/decide/tests/mover/lattice.rs
@@ -1,4 +1,4 @@
-//! Laws of what nodes merge: any order, any number of times, the same result.
+//! Properties of merged state: the result doesn't depend on the order or the number of merges.
 
 use {
     bilberryfront_decide::{
@@ -14,10 +14,10 @@
 };
 
 #[derive(Clone, Debug)]
-struct Any(Standing);
+struct AnyStanding(Standing);
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
+impl Arbitrary for AnyStanding {
+    fn arbitrary(g: &mut Gen) -> AnyStanding {
         let causes = [Cause::Deadline, Cause::Undone, Cause::Failing, Cause::SlowFirst];
         let verdict = Verdict {
             cause: *g.choose(&causes).expect("not empty"),
@@ -26,60 +26,72 @@
         };
         let moving = Standing::Moving(u8::arbitrary(g) % 5);
         let all = [moving, Standing::Settled, Standing::Adopted, Standing::TakenBack(verdict)];
-        Any(g.choose(&all).expect("not empty").clone())
+        AnyStanding(g.choose(&all).expect("not empty").clone())
     }
 }
 
-fn check(law: fn(Any, Any, Any) -> bool) {
+fn check(property: fn(AnyStanding, AnyStanding, AnyStanding) -> bool) {
     let generator = Gen::from_size_and_seed(20, 7);
-    QuickCheck::new().rng(generator).tests(1_000).quickcheck(law as fn(Any, Any, Any) -> bool);
+    QuickCheck::new()
+        .rng(generator)
+        .tests(1_000)
+        .quickcheck(property as fn(AnyStanding, AnyStanding, AnyStanding) -> bool);
 }
 
 #[test]
 fn standing_is_a_semilattice() {
-    fn law(Any(a): Any, Any(b): Any, Any(c): Any) -> bool {
+    fn property(
+        AnyStanding(a): AnyStanding,
+        AnyStanding(b): AnyStanding,
+        AnyStanding(c): AnyStanding,
+    ) -> bool {
         let join = |a: &Standing, b: &Standing| a.clone().join(b.clone());
         join(&a, &a) == a
             && join(&a, &b) == join(&b, &a)
             && join(&join(&a, &b), &c) == join(&a, &join(&b, &c))
     }
-    check(law);
+    check(property);
 }
 
 #[test]
-fn taken_back_wins_over_everything_and_has_no_share() {
-    fn law(Any(a): Any, Any(b): Any, Any(c): Any) -> bool {
-        let any = [&a, &b, &c].iter().any(|s| s.verdict().is_some());
-        let all = a.join(b).join(c);
-        let share = moved().share(&all);
-        all.verdict().is_some() == any && (share == Share::NONE) == any
+fn rollback_takes_precedence_and_has_no_share() {
+    fn property(
+        AnyStanding(a): AnyStanding,
+        AnyStanding(b): AnyStanding,
+        AnyStanding(c): AnyStanding,
+    ) -> bool {
+        let has_verdict = [&a, &b, &c].iter().any(|s| s.verdict().is_some());
+        let joined = a.join(b).join(c);
+        let share = moved().share(&joined);
+        joined.verdict().is_some() == has_verdict && (share == Share::NONE) == has_verdict
     }
-    check(law);
+    check(property);
 }
 
 #[test]
-fn share_never_sinks_but_by_taking_back() {
-    fn law(Any(a): Any, Any(b): Any, _: Any) -> bool {
+fn share_only_decreases_by_rollback() {
+    fn property(AnyStanding(a): AnyStanding, AnyStanding(b): AnyStanding, _: AnyStanding) -> bool {
         let share = moved().share(&a);
-        let all = a.join(b);
-        all.verdict().is_some() || moved().share(&all) >= share
+        let joined = a.join(b);
+        joined.verdict().is_some() || moved().share(&joined) >= share
     }
-    check(law);
+    check(property);
 }
 
-/// What the chart allows only goes up in the lattice, and nothing leads away from a verdict.
+/// The chart permits only changes to a higher value of the semilattice, and none after a verdict.
 #[test]
-fn chart_goes_up() {
-    fn law(Any(a): Any, Any(b): Any, _: Any) -> bool {
+fn chart_only_permits_increases() {
+    fn property(AnyStanding(a): AnyStanding, AnyStanding(b): AnyStanding, _: AnyStanding) -> bool {
         let allowed = a.allows(&b);
-        let up = b > a;
-        (!allowed || up && a.verdict().is_none())
-            && (allowed || !up || a.verdict().is_some() || skips(&a, &b))
+        let is_higher = b > a;
+        (!allowed || is_higher && a.verdict().is_none())
+            && (allowed || !is_higher || a.verdict().is_some() || skips(&a, &b))
     }
-    check(law);
+    check(property);
 }
 
-/// Steps, or the settling, left out: up in the lattice, as news may come late, but no write.
+/// Returns whether the change skips a step or the settled state. Such changes are higher in the
+/// semilattice, because updates may be missed, but they are never written.
 fn skips(a: &Standing, b: &Standing) -> bool {
     match (a, b) {
         (Standing::Moving(a), Standing::Moving(b)) => b - a > 1,
@@ -104,7 +116,7 @@
     }
 }
 
-/// Counters of a node after so many failures, old and new in turn.
+/// Returns the counters of a node after the given number of failures, alternating between versions.
 fn evidence(failures: u64) -> Evidence {
     let mut collector = Collector::default();
     let pooled = BTreeMap::new();
@@ -128,8 +140,8 @@
 }
 
 #[test]
-fn evidence_merges_in_any_order_and_number() {
-    fn law(order: Vec<(u8, u8)>) -> TestResult {
+fn evidence_merge_is_commutative_and_idempotent() {
+    fn property(order: Vec<(u8, u8)>) -> TestResult {
         let order: Vec<(Incarnation, u64)> = order
             .into_iter()
             .map(|(n, e)| (Incarnation(u64::from(n % 4)), u64::from(e % 8)))
@@ -139,11 +151,14 @@
             order.for_each(|(node, count)| pool.merge(*node, &evidence(*count)));
             pool.routes()
         };
-        let there = pool(&mut order.iter());
-        let back = pool(&mut order.iter().rev());
+        let forward = pool(&mut order.iter());
+        let backward = pool(&mut order.iter().rev());
         let twice = pool(&mut order.iter().chain(&order));
-        TestResult::from_bool(there == back && there == twice)
+        TestResult::from_bool(forward == backward && forward == twice)
     }
     let generator = Gen::from_size_and_seed(20, 7);
-    QuickCheck::new().rng(generator).tests(200).quickcheck(law as fn(Vec<(u8, u8)>) -> TestResult);
+    QuickCheck::new()
+        .rng(generator)
+        .tests(200)
+        .quickcheck(property as fn(Vec<(u8, u8)>) -> TestResult);
 }
--- a/crates/decide/tests/mover/main.rs
+++ b/crates/decide/tests/mover/main.rs
@@ -1,4 +1,4 @@
-//! Tests of version moves: laws, a differential against a naive log, and scenarios.
+//! Tests of version moves: properties, a differential test against a reference log, and scenarios.
 
 mod differential;
 mod drive;
--- a/crates/decide/tests/mover/parts.rs
+++ b/crates/decide/tests/mover/parts.rs
@@ -1,4 +1,4 @@
-//! The parts by themselves: lease, schedule, row, freshness of a share.
+//! Unit tests: lease, schedule, row, expiry of a share.
 
 use {
     bilberryfront_decide::{
@@ -18,8 +18,9 @@
 const A: Incarnation = Incarnation(1);
 const B: Incarnation = Incarnation(2);
 
-/// The holder's write takes long. It counts from the sending, the other from the first sight, so
-/// the holder has stopped before the other may begin.
+/// Guards against two concurrent holders when a lease write is slow. The holder measures the lease
+/// from when it sent the write, the other node from when it first saw the row, so the lease expires
+/// at the holder first.
 #[test]
 fn holder_stops_before_another_may_take_over() {
     let zero = Instant::now();
@@ -38,7 +39,7 @@
     assert_eq!(b.prepare_write(seen + TAKE_OVER_AFTER, B, 8).fence, 2);
 }
 
-/// A stale read arrives after a newer one. The older row must not come back into force.
+/// A stale read that arrives after a newer one must not restore the older row.
 #[test]
 fn older_lease_row_is_ignored() {
     let zero = Instant::now();
@@ -53,8 +54,8 @@
 }
 
 #[test]
-fn plan_fits_and_grows() {
-    fn law(time: u16, rate: u8, on_time: u8, take_back: u8, extra_use: u8) -> bool {
+fn plan_fits_the_time_and_has_increasing_shares() {
+    fn property(time: u16, rate: u8, on_time: u8, take_back: u8, extra_use: u8) -> bool {
         let time = Duration::from_secs(u64::from(time));
         let weights = Weights {
             on_time: f64::from(on_time),
@@ -72,33 +73,33 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(4_000, 3))
         .tests(2_000)
-        .quickcheck(law as fn(u16, u8, u8, u8, u8) -> bool);
+        .quickcheck(property as fn(u16, u8, u8, u8, u8) -> bool);
 }
 
-/// The time that an operator is told would do does.
+/// The earliest deadline that is reported to an operator must be sufficient.
 #[test]
-fn earliest_is_enough() {
+fn earliest_deadline_is_sufficient() {
     for rate in [0.05, 0.5, 2.0, 20.0, 2_000.0] {
-        let late = plan(Duration::ZERO, rate, &Weights::default(), false).expect_err("no time");
-        assert!(plan(late.earliest, rate, &Weights::default(), false).is_ok(), "{rate}");
+        let error = plan(Duration::ZERO, rate, &Weights::default(), false).expect_err("no time");
+        assert!(plan(error.earliest, rate, &Weights::default(), false).is_ok(), "{rate}");
     }
 }
 
 #[test]
-fn broken_rows_are_errors() {
-    fn law(bytes: Vec<u8>) -> bool {
+fn invalid_rows_are_errors() {
+    fn property(bytes: Vec<u8>) -> bool {
         let text = String::from_utf8(bytes);
         text.map_or(true, |t| MoveRow::parse(&t).is_err())
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 3))
         .tests(500)
-        .quickcheck(law as fn(Vec<u8>) -> bool);
+        .quickcheck(property as fn(Vec<u8>) -> bool);
     assert_eq!(MoveRow::parse(&" ".repeat(9_000)), Err(RowError::Long(9_000)));
 }
 
 #[test]
-fn share_ends_with_its_time_and_keeps_requests_where_they_are() {
+fn share_expires_and_a_larger_one_contains_the_smaller() {
     let now = Instant::now();
     let until = Some(now + Duration::from_secs(1));
     let split = |share, until| Split {
