--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -14,5 +14,5 @@
 mod queue;
 #[path = "routing/runners.rs"]
 mod runners;
-#[path = "routing/world.rs"]
-mod world;
+#[path = "routing/fixture.rs"]
+mod fixture;
--- a/crates/decide/tests/routing/affinity.rs
+++ b/crates/decide/tests/routing/affinity.rs
@@ -1,7 +1,7 @@
-//! Where prompts with a known prefix go, and which domain the others go to.
+//! Tests of prefix affinity, of the preference for the local domain and of subsets.
 
 use {
-    crate::world::{V1, World, engine, grants, held, node, report},
+    crate::fixture::{Fixture, V1, engine, grants, held_event, load_report, node},
     bilberryfront_decide::{
         Core, Event, Location,
         catalog::Limits,
@@ -17,144 +17,144 @@
 
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-fn world(seed: u64, runners: usize) -> World {
-    let mut world = World::new(seed, Limits::default(), &[1_000]);
-    world.list(spread(runners));
-    world
+fn fixture(seed: u64, runners: usize) -> Fixture {
+    let mut fixture = Fixture::new(seed, Limits::default(), &[1_000]);
+    fixture.set_instances(engines(runners));
+    fixture
 }
 
-fn spread(runners: usize) -> Vec<Instance> {
+fn engines(runners: usize) -> Vec<Instance> {
     (0..runners).map(|i| engine(&format!("r{i}"), DOMAINS[i % 3], V1)).collect()
 }
 
-fn cached(events: &[CacheEvent]) -> LoadReport {
-    LoadReport { cache: events.to_vec(), ..report(0, 8) }
+fn cache_report(events: &[CacheEvent]) -> LoadReport {
+    LoadReport { cache: events.to_vec(), ..load_report(0, 8) }
 }
 
-fn free(world: &mut World, ticket: Ticket) {
-    world.done(ticket, Verdict::Ok);
+fn finish(fixture: &mut Fixture, ticket: Ticket) {
+    fixture.done(ticket, Verdict::Ok);
 }
 
-/// Names of the prefix's home and of another runner.
-fn home(world: &mut World, prefix: u64) -> (String, &'static str) {
-    let home = sent_and_done(world, prefix);
-    let other = if home == "r3" { "r4" } else { "r3" };
-    (home, other)
+/// Returns the names of the runner that the prefix hashes to and of another runner.
+fn hash_target_and_other(fixture: &mut Fixture, prefix: u64) -> (String, &'static str) {
+    let hash_target = send_and_finish(fixture, prefix);
+    let other = if hash_target == "r3" { "r4" } else { "r3" };
+    (hash_target, other)
 }
 
 #[test]
 fn a_prefix_goes_to_the_runner_that_holds_it() {
-    let mut world = world(1, 20);
-    let (_, other) = home(&mut world, 77);
-    world.load(other, cached(&[held(1, 77)]));
-    assert_eq!(world.sent_to(77).1, other);
+    let mut fixture = fixture(1, 20);
+    let (_, other) = hash_target_and_other(&mut fixture, 77);
+    fixture.report_load(other, cache_report(&[held_event(1, 77)]));
+    assert_eq!(fixture.send_with_prefix(77).1, other);
 }
 
 #[test]
-fn a_full_holder_is_passed_over() {
-    let mut world = world(1, 20);
-    world.load("r3", LoadReport { running: 8, ..cached(&[held(1, 77)]) });
-    assert_ne!(world.sent_to(77).1, "r3");
+fn a_full_holder_is_skipped() {
+    let mut fixture = fixture(1, 20);
+    fixture.report_load("r3", LoadReport { running: 8, ..cache_report(&[held_event(1, 77)]) });
+    assert_ne!(fixture.send_with_prefix(77).1, "r3");
 }
 
-// The caller sees a slower first token: its prompt went to a runner that had dropped the prefix.
-// 1. The runner tells that it holds the prefix. 2. The event that drops it gets lost. 3. The next
-// event's number shows the gap. Whatever was dropped unheard, nothing older is believed then.
+// Guards against requests sent to a runner that has evicted their prefix, which slows down the
+// first token. The runner reports a prefix, the event of its eviction is lost, and the next event
+// has a gap in its sequence number. All prefixes reported before the gap must be dropped.
 #[test]
-fn a_gap_ends_what_was_believed() {
-    let mut world = world(1, 20);
-    let (home, other) = home(&mut world, 77);
-    world.load(other, cached(&[held(1, 77)]));
-    world.load(other, cached(&[held(3, 78)]));
-    assert_eq!(world.sent_to(77).1, home);
-    assert_eq!(world.sent_to(78).1, other);
+fn a_sequence_gap_drops_earlier_prefixes() {
+    let mut fixture = fixture(1, 20);
+    let (hash_target, other) = hash_target_and_other(&mut fixture, 77);
+    fixture.report_load(other, cache_report(&[held_event(1, 77)]));
+    fixture.report_load(other, cache_report(&[held_event(3, 78)]));
+    assert_eq!(fixture.send_with_prefix(77).1, hash_target);
+    assert_eq!(fixture.send_with_prefix(78).1, other);
 }
 
 #[test]
-fn late_events_are_taken_once() {
-    let mut world = world(1, 20);
-    let (home, other) = home(&mut world, 77);
-    let dropped = CacheEvent { held: false, ..held(2, 77) };
-    world.load(other, cached(&[held(1, 77), dropped]));
-    world.load(other, cached(&[held(1, 77), dropped, held(3, 5)]));
-    assert_eq!(world.sent_to(77).1, home);
+fn repeated_events_are_applied_once() {
+    let mut fixture = fixture(1, 20);
+    let (hash_target, other) = hash_target_and_other(&mut fixture, 77);
+    let dropped = CacheEvent { held: false, ..held_event(2, 77) };
+    fixture.report_load(other, cache_report(&[held_event(1, 77), dropped]));
+    fixture.report_load(other, cache_report(&[held_event(1, 77), dropped, held_event(3, 5)]));
+    assert_eq!(fixture.send_with_prefix(77).1, hash_target);
 }
 
 #[test]
-fn a_restarted_runner_holds_nothing_but_what_it_tells_anew() {
-    let mut world = world(1, 20);
-    let (home, other) = home(&mut world, 77);
-    world.load(other, cached(&[held(900, 77)]));
-    world.load(other, cached(&[held(1, 78)]));
-    assert_eq!(world.sent_to(77).1, home);
-    assert_eq!(world.sent_to(78).1, other);
+fn a_restart_drops_earlier_prefixes() {
+    let mut fixture = fixture(1, 20);
+    let (hash_target, other) = hash_target_and_other(&mut fixture, 77);
+    fixture.report_load(other, cache_report(&[held_event(900, 77)]));
+    fixture.report_load(other, cache_report(&[held_event(1, 78)]));
+    assert_eq!(fixture.send_with_prefix(77).1, hash_target);
+    assert_eq!(fixture.send_with_prefix(78).1, other);
 }
 
 #[test]
-fn beliefs_are_bounded() {
-    let mut world = world(1, 20);
-    let (home, other) = home(&mut world, 1);
-    let events = (1..=5_000).map(|i| held(i, i)).collect::<Vec<_>>();
-    world.load(other, cached(&events));
-    assert_eq!(world.sent_to(1).1, home);
-    assert_eq!(world.sent_to(5_000).1, other);
+fn cached_prefixes_are_bounded() {
+    let mut fixture = fixture(1, 20);
+    let (hash_target, other) = hash_target_and_other(&mut fixture, 1);
+    let events = (1..=5_000).map(|i| held_event(i, i)).collect::<Vec<_>>();
+    fixture.report_load(other, cache_report(&events));
+    assert_eq!(fixture.send_with_prefix(1).1, hash_target);
+    assert_eq!(fixture.send_with_prefix(5_000).1, other);
 }
 
 #[test]
-fn all_nodes_hash_a_prefix_to_one_runner() {
-    let mut nodes = (0..6).map(|seed| world(seed, 20)).collect::<Vec<_>>();
+fn all_nodes_hash_a_prefix_to_the_same_runner() {
+    let mut nodes = (0..6).map(|seed| fixture(seed, 20)).collect::<Vec<_>>();
     for prefix in 0..50 {
-        let homes = nodes.iter_mut().map(|w| w.sent_to(prefix)).collect::<Vec<_>>();
-        assert!(homes.iter().all(|(_, h)| *h == homes[0].1), "prefix {prefix}: {homes:?}");
-        nodes.iter_mut().zip(homes).for_each(|(w, (ticket, _))| free(w, ticket));
+        let targets = nodes.iter_mut().map(|f| f.send_with_prefix(prefix)).collect::<Vec<_>>();
+        assert!(targets.iter().all(|(_, t)| *t == targets[0].1), "prefix {prefix}: {targets:?}");
+        nodes.iter_mut().zip(targets).for_each(|(f, (ticket, _))| finish(f, ticket));
     }
 }
 
 #[test]
-fn a_lost_runner_moves_no_other_runners_prefixes() {
-    let mut world = world(1, 20);
-    let before = (0..100).map(|p| sent_and_done(&mut world, p)).collect::<Vec<_>>();
-    world.list(spread(20).into_iter().filter(|r| r.name != "r5").collect());
+fn losing_a_runner_moves_no_prefixes_of_others() {
+    let mut fixture = fixture(1, 20);
+    let before = (0..100).map(|p| send_and_finish(&mut fixture, p)).collect::<Vec<_>>();
+    fixture.set_instances(engines(20).into_iter().filter(|r| r.name != "r5").collect());
     let moved = (0..100).filter(|&p| {
-        let after = sent_and_done(&mut world, p);
+        let after = send_and_finish(&mut fixture, p);
         before[p as usize] != "r5" && before[p as usize] != after
     });
     assert_eq!(moved.count(), 0);
 }
 
-fn sent_and_done(world: &mut World, prefix: u64) -> String {
-    let (ticket, name) = world.sent_to(prefix);
-    free(world, ticket);
+fn send_and_finish(fixture: &mut Fixture, prefix: u64) -> String {
+    let (ticket, name) = fixture.send_with_prefix(prefix);
+    finish(fixture, ticket);
     name
 }
 
 #[test]
-fn the_own_domain_comes_first_and_others_take_what_it_cannot() {
-    let mut world = world(1, 6);
-    (0..6).for_each(|i| _ = world.load(&format!("r{i}"), report(0, 4)));
-    let domain = |world: &World, key| {
-        let found = world.core.runners().find(|(k, _)| *k == key);
+fn the_local_domain_is_preferred_until_full() {
+    let mut fixture = fixture(1, 6);
+    (0..6).for_each(|i| _ = fixture.report_load(&format!("r{i}"), load_report(0, 4)));
+    let domain = |fixture: &Fixture, key| {
+        let found = fixture.core.runners().find(|(k, _)| *k == key);
         found.expect("the runner is known").1.domain.to_string()
     };
-    let sent = (0..24).map(|_| world.granted(0).runner).collect::<Vec<_>>();
-    let domains = sent.iter().map(|k| domain(&world, *k)).collect::<Vec<_>>();
+    let sent = (0..24).map(|_| fixture.expect_grant(0).runner).collect::<Vec<_>>();
+    let domains = sent.iter().map(|k| domain(&fixture, *k)).collect::<Vec<_>>();
     assert!(domains[..8].iter().all(|d| d == "a"), "{domains:?}");
     assert!(domains[8..].iter().all(|d| d != "a"), "{domains:?}");
 }
 
-// The caller would see refusals: the one domain that its node's runners were all in is lost. So at
-// a size where a node talks to some runners only, each domain must be among them.
+// Guards against rejections after the loss of a failure domain that contains the whole subset of a
+// node. When the subset is smaller than the pool, it must include runners of each domain.
 #[test]
-fn a_subset_covers_each_domain_with_every_other_lost() {
+fn a_subset_covers_each_domain() {
     for seed in 0..20 {
-        let mut world = World::new(seed, Limits::default(), &[1_000]);
-        let mut list = spread(1_600);
+        let mut fixture = Fixture::new(seed, Limits::default(), &[1_000]);
+        let mut list = engines(1_600);
         list.extend((0..400).map(|i| node(&format!("n{i}"))));
-        world.list(list);
-        let watched = world.core.polled().map(|(_, r)| r.domain.clone()).collect::<Vec<_>>();
-        assert_eq!(watched.len(), 64);
+        fixture.set_instances(list);
+        let polled = fixture.core.polled().map(|(_, r)| r.domain.clone()).collect::<Vec<_>>();
+        assert_eq!(polled.len(), 64);
         for domain in DOMAINS {
-            let here = watched.iter().filter(|d| *d == domain).count();
+            let here = polled.iter().filter(|d| *d == domain).count();
             assert!(here >= 16, "{here} in {domain}");
         }
     }
@@ -162,7 +162,7 @@
 
 #[test]
 fn each_runner_is_in_some_nodes_subset() {
-    let mut list = spread(600);
+    let mut list = engines(600);
     list.extend((0..60).map(|i| node(&format!("n{i}"))));
     let list = InstanceList { revision: 1, instances: list };
     let mut seen = BTreeSet::new();
@@ -178,12 +178,16 @@
 
 #[test]
 fn the_pinned_version_is_what_the_runner_reports() {
-    let mut world = world(1, 2);
-    world.load("r1", LoadReport { version: "v2".into(), ..report(0, 8) });
-    let ask = RunnerRequest { pin: Some("v2".into()), purpose: Purpose::Resume, ..world.draft(0) };
-    let grant = grants(&world.step(Event::Request(ask))).pop().expect("a grant");
-    assert_eq!(world.name(grant.runner), "r1");
-    world.list(spread(2));
-    let other = world.granted(0);
-    assert_eq!(world.name(other.runner), "r0", "the list still calls r1 a v1");
+    let mut fixture = fixture(1, 2);
+    fixture.report_load("r1", LoadReport { version: "v2".into(), ..load_report(0, 8) });
+    let request = RunnerRequest {
+        pin: Some("v2".into()),
+        purpose: Purpose::Resume,
+        ..fixture.new_request(0)
+    };
+    let grant = grants(&fixture.step(Event::Request(request))).pop().expect("a grant");
+    assert_eq!(fixture.name(grant.runner), "r1");
+    fixture.set_instances(engines(2));
+    let other = fixture.expect_grant(0);
+    assert_eq!(fixture.name(other.runner), "r0", "the list still gives v1 as the version of r1");
 }
--- a/crates/decide/tests/routing/world.rs
+++ b/crates/decide/tests/routing/fixture.rs
@@ -1,5 +1,4 @@
-//! A core with a small catalogue and list, and shorthands to drive it. Time is a number that only
-//! the test moves.
+//! Test fixture: a core with a small catalogue and instance list, driven with simulated time.
 
 use {
     bilberryfront_decide::{
@@ -21,32 +20,34 @@
 pub(crate) const V1: &str = "v1";
 pub(crate) const V2: &str = "v2";
 
-/// A core and what the test needs to drive it.
-pub(crate) struct World {
+/// A core with the state needed to drive it.
+pub(crate) struct Fixture {
     pub(crate) core: Core,
     pub(crate) now: Instant,
     pub(crate) entry: EntryKey,
     pub(crate) accounts: Vec<AccountKey>,
-    list: u64,
-    ticket: u64,
+    list_revision: u64,
+    last_ticket: u64,
 }
 
-impl World {
-    /// A core in domain `a` whose one entry has `limits`, and an account for each bound.
-    pub(crate) fn new(seed: u64, limits: Limits, bounds: &[u32]) -> World {
-        let names = (0..bounds.len()).map(|i| format!("account-{i}")).collect::<Vec<_>>();
-        let catalog = Arc::new(Catalog::default().updated(1, &doc(limits, &names, bounds)));
+impl Fixture {
+    /// Creates a core in domain `a` with one entry of these `limits` and an account for each of
+    /// `account_limits`.
+    pub(crate) fn new(seed: u64, limits: Limits, account_limits: &[u32]) -> Fixture {
+        let names = (0..account_limits.len()).map(|i| format!("account-{i}")).collect::<Vec<_>>();
+        let catalog =
+            Arc::new(Catalog::default().updated(1, &catalog_doc(limits, &names, account_limits)));
         let place = Location { region: "east-mids".into(), domain: "a".into() };
-        let mut world = World {
+        let mut fixture = Fixture {
             core: Core::new(seed, place),
             now: Instant::now(),
             entry: catalog.entry(ENTRY).expect("the entry was just made"),
             accounts: names.iter().filter_map(|n| catalog.account(n)).collect(),
-            list: 0,
-            ticket: 0,
+            list_revision: 0,
+            last_ticket: 0,
         };
-        world.step(Event::Catalog { revision: catalog.revision, doc: Arc::new(catalog.doc()) });
-        world
+        fixture.step(Event::Catalog { revision: catalog.revision, doc: Arc::new(catalog.doc()) });
+        fixture
     }
 
     pub(crate) fn step(&mut self, event: Event) -> Vec<Action> {
@@ -55,8 +56,8 @@
         out
     }
 
-    /// Lets time pass, with a tick every 50 ms.
-    pub(crate) fn wait(&mut self, ms: u64) -> Vec<Action> {
+    /// Advances the time, with a tick every 50 ms.
+    pub(crate) fn advance(&mut self, ms: u64) -> Vec<Action> {
         let mut out = Vec::new();
         for _ in 0..ms.div_ceil(50) {
             self.now += Duration::from_millis(50);
@@ -65,8 +66,8 @@
         out
     }
 
-    /// Changes the catalogue.
-    pub(crate) fn renew(&mut self, change: impl FnOnce(&mut CatalogDoc)) -> Vec<Action> {
+    /// Changes the catalogue and applies it.
+    pub(crate) fn update_catalog(&mut self, change: impl FnOnce(&mut CatalogDoc)) -> Vec<Action> {
         let mut doc = self.core.catalog().doc();
         change(&mut doc);
         let revision = self.core.catalog().revision + 1;
@@ -74,10 +75,10 @@
         self.step(Event::Catalog { revision: next.revision, doc: Arc::new(next.doc()) })
     }
 
-    /// Replaces the list.
-    pub(crate) fn list(&mut self, instances: Vec<Instance>) -> Vec<Action> {
-        self.list += 1;
-        let revision = self.list;
+    /// Replaces the instance list.
+    pub(crate) fn set_instances(&mut self, instances: Vec<Instance>) -> Vec<Action> {
+        self.list_revision += 1;
+        let revision = self.list_revision;
         self.step(Event::Instances(InstanceList { revision, instances }))
     }
 
@@ -91,11 +92,11 @@
         found.expect("the runner is in the list").1.name.to_string()
     }
 
-    /// An ask of the account's, not yet sent to the core.
-    pub(crate) fn draft(&mut self, account: usize) -> RunnerRequest {
-        self.ticket += 1;
+    /// Returns a new request of the account, not yet sent to the core.
+    pub(crate) fn new_request(&mut self, account: usize) -> RunnerRequest {
+        self.last_ticket += 1;
         RunnerRequest {
-            ticket: Ticket(self.ticket),
+            ticket: Ticket(self.last_ticket),
             entry: self.entry,
             account: self.accounts[account],
             prefix: None,
@@ -105,23 +106,23 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, account: usize) -> (Ticket, Vec<Action>) {
-        let ask = self.draft(account);
-        (ask.ticket, self.step(Event::Request(ask)))
+    pub(crate) fn request(&mut self, account: usize) -> (Ticket, Vec<Action>) {
+        let request = self.new_request(account);
+        (request.ticket, self.step(Event::Request(request)))
     }
 
-    /// Asks and expects a grant at once.
-    pub(crate) fn granted(&mut self, account: usize) -> Grant {
-        let (ticket, out) = self.ask(account);
+    /// Sends a request that must be granted immediately.
+    pub(crate) fn expect_grant(&mut self, account: usize) -> Grant {
+        let (ticket, out) = self.request(account);
         let grant = grants(&out).pop().expect("a grant");
         assert_eq!(grant.ticket, ticket);
         grant
     }
 
-    /// Asks with a prefix and gives the name of the runner that it was sent to.
-    pub(crate) fn sent_to(&mut self, prefix: u64) -> (Ticket, String) {
-        let ask = RunnerRequest { prefix: Some(prefix), ..self.draft(0) };
-        let out = self.step(Event::Request(ask));
+    /// Sends a request with a prefix and returns the name of the granted runner.
+    pub(crate) fn send_with_prefix(&mut self, prefix: u64) -> (Ticket, String) {
+        let request = RunnerRequest { prefix: Some(prefix), ..self.new_request(0) };
+        let out = self.step(Event::Request(request));
         let grant = grants(&out).pop().expect("a grant");
         (grant.ticket, self.name(grant.runner))
     }
@@ -130,26 +131,26 @@
         self.step(done(ticket, verdict, false))
     }
 
-    /// The runner failed the request, which asks for another.
-    pub(crate) fn again(&mut self, grant: &Grant) -> Vec<Action> {
+    /// Fails a granted request and requests another runner for it.
+    pub(crate) fn fail_and_retry(&mut self, grant: &Grant) -> Vec<Action> {
         let mut out = self.step(done(grant.ticket, Verdict::Broken, true));
-        let ask = RunnerRequest {
+        let request = RunnerRequest {
             ticket: grant.ticket,
             pin: Some(grant.version.clone()),
             avoid: Some(grant.runner),
             purpose: Purpose::Retry,
-            ..self.draft(0)
+            ..self.new_request(0)
         };
-        out.extend(self.step(Event::Request(ask)));
+        out.extend(self.step(Event::Request(request)));
         out
     }
 
-    pub(crate) fn load(&mut self, name: &str, report: LoadReport) -> Vec<Action> {
+    pub(crate) fn report_load(&mut self, name: &str, report: LoadReport) -> Vec<Action> {
         let runner = self.runner(name);
         self.step(Event::Load { runner, report })
     }
 
-    pub(crate) fn peers(&mut self, nodes: u32, running: &[(usize, u32)]) -> Vec<Action> {
+    pub(crate) fn set_peers(&mut self, nodes: u32, running: &[(usize, u32)]) -> Vec<Action> {
         let running = running.iter().map(|&(a, n)| (self.entry, self.accounts[a], n)).collect();
         self.step(Event::Peers(PeerUse { nodes, running }))
     }
@@ -167,19 +168,19 @@
     grants.collect()
 }
 
-pub(crate) fn refusals(out: &[Action]) -> Vec<Rejection> {
-    let refusals = out.iter().filter_map(|a| match a {
-        Action::Reject(refuse) => Some(*refuse),
+pub(crate) fn rejections(out: &[Action]) -> Vec<Rejection> {
+    let rejections = out.iter().filter_map(|a| match a {
+        Action::Reject(rejection) => Some(*rejection),
         Action::Grant(_) => None,
     });
-    refusals.collect()
+    rejections.collect()
 }
 
 pub(crate) fn reasons(out: &[Action]) -> Vec<Reason> {
-    refusals(out).iter().map(|r| r.reason).collect()
+    rejections(out).iter().map(|r| r.reason).collect()
 }
 
-/// A live engine of [`ENTRY`].
+/// Returns a live engine of [`ENTRY`].
 pub(crate) fn engine(name: &str, domain: &str, version: &str) -> Instance {
     Instance {
         name: name.into(),
@@ -203,17 +204,17 @@
     }
 }
 
-pub(crate) fn report(running: u32, slots: u32) -> LoadReport {
+pub(crate) fn load_report(running: u32, slots: u32) -> LoadReport {
     LoadReport { version: V1.into(), running, waiting: 0, slots, leaving: false, cache: Vec::new() }
 }
 
-pub(crate) fn held(sequence: u64, prefix: u64) -> CacheEvent {
+pub(crate) fn held_event(sequence: u64, prefix: u64) -> CacheEvent {
     CacheEvent { sequence, prefix, held: true }
 }
 
-/// The catalogue of one entry that all `names` may use.
-pub(crate) fn doc(limits: Limits, names: &[String], bounds: &[u32]) -> CatalogDoc {
-    let access = names.iter().zip(bounds);
+/// Returns a catalogue of one entry that all accounts in `names` may use.
+pub(crate) fn catalog_doc(limits: Limits, names: &[String], account_limits: &[u32]) -> CatalogDoc {
+    let access = names.iter().zip(account_limits);
     CatalogDoc {
         accounts: names.iter().map(|n| Account { name: n.into(), keys: Vec::new() }).collect(),
         entries: vec![Entry {
--- a/crates/decide/tests/routing/runners.rs
+++ b/crates/decide/tests/routing/runners.rs
@@ -1,7 +1,7 @@
-//! Which runners are sent nothing: suspects, and those that leave.
+//! Tests of runners that receive no requests: suspect and leaving ones.
 
 use {
-    crate::world::{ENTRY, V1, World, engine, grants, reasons, report},
+    crate::fixture::{ENTRY, Fixture, V1, engine, grants, load_report, reasons},
     bilberryfront_decide::{
         Event,
         action::{Grant, Reason},
@@ -14,197 +14,210 @@
     },
 };
 
-fn world(runners: usize) -> World {
-    let mut world = World::new(3, Limits::default(), &[1_000]);
-    world.list((0..runners).map(|i| engine(&format!("r{i}"), "a", V1)).collect());
-    world
+fn fixture(runners: usize) -> Fixture {
+    let mut fixture = Fixture::new(3, Limits::default(), &[1_000]);
+    fixture.set_instances((0..runners).map(|i| engine(&format!("r{i}"), "a", V1)).collect());
+    fixture
 }
 
-fn fail(world: &mut World, grant: &Grant) {
-    world.done(grant.ticket, Verdict::Broken);
+fn fail(fixture: &mut Fixture, grant: &Grant) {
+    fixture.done(grant.ticket, Verdict::Broken);
 }
 
-/// Sends and ends `count` requests; gives how many went to the runner.
-fn got(world: &mut World, name: &str, count: usize) -> usize {
+/// Sends and ends `count` requests and returns how many of them the runner received.
+fn count_sent_to(fixture: &mut Fixture, name: &str, count: usize) -> usize {
     let sent = (0..count).map(|_| {
-        let grant = world.granted(0);
-        let name = world.name(grant.runner);
-        world.done(grant.ticket, Verdict::Cancelled);
+        let grant = fixture.expect_grant(0);
+        let name = fixture.name(grant.runner);
+        fixture.done(grant.ticket, Verdict::Cancelled);
         name
     });
     sent.collect::<Vec<_>>().iter().filter(|n| *n == name).count()
 }
 
-// The caller sees a request fail at a dead runner, and the next ones must not. 1. A request breaks
-// at it. 2. Until its back-off is over it gets nothing. 3. Then one request is its probe, and
-// nothing else until that ends. 4. The probe breaks, and the back-off doubles.
+// Guards against repeated failures at a dead runner. After a request fails, the runner must receive
+// nothing until its back-off has elapsed, and then a single request as a probe. If the probe fails,
+// the back-off must double.
 #[test]
 fn a_suspect_gets_one_probe_after_its_back_off() {
-    let mut world = world(2);
-    let first = world.granted(0);
-    let name = world.name(first.runner);
-    fail(&mut world, &first);
-    assert_eq!(got(&mut world, &name, 20), 0);
-    world.wait(650);
-    let probe = world.granted(0);
-    assert_eq!(world.name(probe.runner), name);
-    assert_eq!(got(&mut world, &name, 20), 0);
-    fail(&mut world, &probe);
-    world.wait(650);
-    assert_eq!(got(&mut world, &name, 20), 0, "the second back-off is longer");
-    world.wait(650);
-    let probe = world.granted(0);
-    assert_eq!(world.name(probe.runner), name);
-    world.done(probe.ticket, Verdict::Ok);
-    assert!(got(&mut world, &name, 20) > 0);
+    let mut fixture = fixture(2);
+    let first = fixture.expect_grant(0);
+    let name = fixture.name(first.runner);
+    fail(&mut fixture, &first);
+    assert_eq!(count_sent_to(&mut fixture, &name, 20), 0);
+    fixture.advance(650);
+    let probe = fixture.expect_grant(0);
+    assert_eq!(fixture.name(probe.runner), name);
+    assert_eq!(count_sent_to(&mut fixture, &name, 20), 0);
+    fail(&mut fixture, &probe);
+    fixture.advance(650);
+    assert_eq!(count_sent_to(&mut fixture, &name, 20), 0, "the second back-off must be longer");
+    fixture.advance(650);
+    let probe = fixture.expect_grant(0);
+    assert_eq!(fixture.name(probe.runner), name);
+    fixture.done(probe.ticket, Verdict::Ok);
+    assert!(count_sent_to(&mut fixture, &name, 20) > 0);
 }
 
 #[test]
-fn a_probes_first_token_ends_the_suspicion() {
-    let mut world = world(2);
-    let first = world.granted(0);
-    fail(&mut world, &first);
-    world.wait(650);
-    let probe = world.granted(0);
+fn the_first_token_of_a_probe_clears_the_suspicion() {
+    let mut fixture = fixture(2);
+    let first = fixture.expect_grant(0);
+    fail(&mut fixture, &first);
+    fixture.advance(650);
+    let probe = fixture.expect_grant(0);
     assert_eq!(probe.runner, first.runner);
-    world.step(Event::Started(probe.ticket));
-    let sent = (0..6).map(|_| world.granted(0).runner).collect::<Vec<_>>();
-    assert!(sent.contains(&probe.runner), "its load goes up with the other's");
+    fixture.step(Event::Started(probe.ticket));
+    let sent = (0..6).map(|_| fixture.expect_grant(0).runner).collect::<Vec<_>>();
+    assert!(sent.contains(&probe.runner), "the recovered runner must receive requests");
 }
 
 #[test]
-fn a_probe_whose_caller_leaves_is_followed_by_another() {
-    let mut world = world(2);
-    let first = world.granted(0);
-    fail(&mut world, &first);
-    world.wait(650);
-    let probe = world.granted(0);
-    world.done(probe.ticket, Verdict::Cancelled);
-    assert_eq!(world.granted(0).runner, probe.runner);
-}
-
-// Callers would wait half a minute longer than needed: a runner that dies breaks all its streams
-// at once, and if each of them doubled the back-off it would be at its longest at once.
+fn a_cancelled_probe_is_followed_by_another() {
+    let mut fixture = fixture(2);
+    let first = fixture.expect_grant(0);
+    fail(&mut fixture, &first);
+    fixture.advance(650);
+    let probe = fixture.expect_grant(0);
+    fixture.done(probe.ticket, Verdict::Cancelled);
+    assert_eq!(fixture.expect_grant(0).runner, probe.runner);
+}
+
+// Guards against an unnecessary back-off of half a minute. A runner that dies breaks all its
+// streams at the same time; if each of them doubled the back-off, it would reach its maximum
+// immediately.
 #[test]
 fn streams_broken_together_are_one_failure() {
-    let mut world = world(2);
-    let grants = (0..12).map(|_| world.granted(0)).collect::<Vec<_>>();
+    let mut fixture = fixture(2);
+    let grants = (0..12).map(|_| fixture.expect_grant(0)).collect::<Vec<_>>();
     let runner = grants[0].runner;
     for grant in grants.iter().filter(|g| g.runner == runner) {
-        fail(&mut world, grant);
+        fail(&mut fixture, grant);
     }
-    world.wait(650);
-    assert_eq!(world.granted(0).runner, runner);
+    fixture.advance(650);
+    assert_eq!(fixture.expect_grant(0).runner, runner);
 }
 
 #[test]
-fn a_failed_request_is_no_probe() {
-    let mut world = world(3);
-    let [a, b] = [world.granted(0), world.granted(0)];
-    fail(&mut world, &a);
-    world.wait(650);
-    let out = world.again(&b);
+fn a_failed_request_is_not_used_as_a_probe() {
+    let mut fixture = fixture(3);
+    let [a, b] = [fixture.expect_grant(0), fixture.expect_grant(0)];
+    fail(&mut fixture, &a);
+    fixture.advance(650);
+    let out = fixture.fail_and_retry(&b);
     let grant = grants(&out).pop().expect("a grant");
-    assert_ne!(grant.runner, a.runner, "due for a probe, but not with a request that failed once");
+    assert_ne!(grant.runner, a.runner, "a request that failed once must not be used as a probe");
     assert_ne!(grant.runner, b.runner);
 }
 
 #[test]
-fn silent_load_reports_make_a_suspect_and_a_report_clears_it() {
-    let mut world = world(2);
-    let runner = world.runner("r0");
-    world.step(Event::LoadMissing { runner });
-    assert!(got(&mut world, "r0", 20) > 0, "one missed report is no evidence");
-    world.step(Event::LoadMissing { runner });
-    world.wait(5_000);
-    assert_eq!(got(&mut world, "r0", 20), 0, "no request is risked while it is silent");
-    world.load("r0", report(0, 8));
-    assert!(got(&mut world, "r0", 20) > 0);
+fn missed_load_reports_make_a_suspect_and_a_report_clears_it() {
+    let mut fixture = fixture(2);
+    let runner = fixture.runner("r0");
+    fixture.step(Event::LoadMissing { runner });
+    assert!(count_sent_to(&mut fixture, "r0", 20) > 0, "one missed report must not make a suspect");
+    fixture.step(Event::LoadMissing { runner });
+    fixture.advance(5_000);
+    assert_eq!(
+        count_sent_to(&mut fixture, "r0", 20),
+        0,
+        "a suspect without load reports must not be probed"
+    );
+    fixture.report_load("r0", load_report(0, 8));
+    assert!(count_sent_to(&mut fixture, "r0", 20) > 0);
 }
 
 #[test]
 fn a_load_report_does_not_clear_a_failed_request() {
-    let mut world = world(2);
-    let first = world.granted(0);
-    let name = world.name(first.runner);
-    fail(&mut world, &first);
-    world.load(&name, report(0, 8));
-    assert_eq!(got(&mut world, &name, 20), 0);
+    let mut fixture = fixture(2);
+    let first = fixture.expect_grant(0);
+    let name = fixture.name(first.runner);
+    fail(&mut fixture, &first);
+    fixture.report_load(&name, load_report(0, 8));
+    assert_eq!(count_sent_to(&mut fixture, &name, 20), 0);
 }
 
 #[test]
-fn with_only_suspects_the_one_that_failed_longest_ago_serves() {
-    let mut world = world(2);
-    let first = world.granted(0);
-    fail(&mut world, &first);
-    world.wait(50);
-    let second = world.granted(0);
+fn among_suspects_the_one_with_the_oldest_failure_is_used() {
+    let mut fixture = fixture(2);
+    let first = fixture.expect_grant(0);
+    fail(&mut fixture, &first);
+    fixture.advance(50);
+    let second = fixture.expect_grant(0);
     assert_ne!(first.runner, second.runner);
-    fail(&mut world, &second);
-    assert_eq!(world.granted(0).runner, first.runner);
+    fail(&mut fixture, &second);
+    assert_eq!(fixture.expect_grant(0).runner, first.runner);
 }
 
 #[test]
-fn the_runner_to_avoid_serves_when_it_is_the_only_one() {
-    let mut world = world(1);
-    let first = world.granted(0);
-    let out = world.again(&first);
+fn the_runner_to_avoid_is_used_if_it_is_the_only_one() {
+    let mut fixture = fixture(1);
+    let first = fixture.expect_grant(0);
+    let out = fixture.fail_and_retry(&first);
     assert_eq!(grants(&out)[0].runner, first.runner);
 }
 
-// The caller sees its request refused or cut by a runner on its way out. 1. The list says that the
-// runner leaves. 2. An older list, read from a lagging replica, calls it live. It is ignored.
+// Guards against requests sent to a runner that is shutting down. The list marks the runner as
+// leaving, and then an older list, read from a lagging replica, calls it live. The older list must
+// be ignored.
 #[test]
-fn a_stale_list_brings_no_runner_back() {
-    let mut world = world(2);
+fn a_stale_list_does_not_restore_a_runner() {
+    let mut fixture = fixture(2);
     let mut list = ["r0", "r1"].map(|n| engine(n, "a", V1)).to_vec();
     list[0].state = InstanceState::Leaving;
-    world.list(list);
-    assert_eq!(got(&mut world, "r0", 20), 0);
+    fixture.set_instances(list);
+    assert_eq!(count_sent_to(&mut fixture, "r0", 20), 0);
     let instances = ["r0", "r1"].map(|n| engine(n, "a", V1)).to_vec();
-    world.step(Event::Instances(InstanceList { revision: 1, instances }));
-    assert_eq!(got(&mut world, "r0", 20), 0);
+    fixture.step(Event::Instances(InstanceList { revision: 1, instances }));
+    assert_eq!(count_sent_to(&mut fixture, "r0", 20), 0);
 }
 
-// The caller sees its request refused by a draining runner. 1. The runner reports that it leaves.
-// 2. A newer list, which hasn't heard of it, still calls it live. Its own word counts.
+// Guards against requests sent to a draining runner. The runner reports that it is leaving, and a
+// newer list, which doesn't include this yet, still calls it live. The runner's report must apply.
 #[test]
-fn a_runners_own_word_that_it_leaves_outlasts_the_list() {
-    let mut world = world(2);
-    world.load("r0", LoadReport { leaving: true, ..report(0, 8) });
-    world.list(["r0", "r1"].map(|n| engine(n, "a", V1)).to_vec());
-    assert_eq!(got(&mut world, "r0", 20), 0);
-    world.load("r0", report(0, 8));
-    assert!(got(&mut world, "r0", 20) > 0, "and so does its word that it stays");
-}
-
-// Operators see a drained runner that was told to load a version and never serves again. 1. It
-// reports that it leaves. 2. The node stops asking for its load. 3. So it can't hear that the
+fn a_runners_own_report_of_leaving_overrides_the_list() {
+    let mut fixture = fixture(2);
+    fixture.report_load("r0", LoadReport { leaving: true, ..load_report(0, 8) });
+    fixture.set_instances(["r0", "r1"].map(|n| engine(n, "a", V1)).to_vec());
+    assert_eq!(count_sent_to(&mut fixture, "r0", 20), 0);
+    fixture.report_load("r0", load_report(0, 8));
+    assert!(
+        count_sent_to(&mut fixture, "r0", 20) > 0,
+        "its report that it stays must apply as well"
+    );
+}
+
+// Guards against a runner that never serves again after it was drained to load a new version. It
+// reports that it is leaving. If the node stopped polling its load, it would not learn that the
 // runner is back.
 #[test]
-fn a_runner_that_said_it_leaves_is_still_listened_to() {
-    let mut world = world(2);
-    let is_polled = |w: &World| w.core.polled().any(|(_, r)| r.name == "r0");
-    world.load("r0", LoadReport { leaving: true, ..report(0, 8) });
-    assert!(is_polled(&world));
+fn a_runner_leaving_by_its_own_report_is_still_polled() {
+    let mut fixture = fixture(2);
+    let is_polled = |f: &Fixture| f.core.polled().any(|(_, r)| r.name == "r0");
+    fixture.report_load("r0", LoadReport { leaving: true, ..load_report(0, 8) });
+    assert!(is_polled(&fixture));
     let mut list = ["r0", "r1"].map(|n| engine(n, "a", V1)).to_vec();
     list[0].state = InstanceState::Leaving;
-    world.list(list);
-    assert!(!is_polled(&world), "the list's word is not the runner's to undo");
+    fixture.set_instances(list);
+    assert!(!is_polled(&fixture), "a report can't undo the leaving state of the list");
 }
 
 #[test]
-fn with_leaving_runners_only_a_request_is_refused() {
-    let mut world = world(1);
-    world.load("r0", LoadReport { leaving: true, ..report(0, 8) });
-    let (_, out) = world.ask(0);
+fn a_request_is_rejected_if_all_runners_are_leaving() {
+    let mut fixture = fixture(1);
+    fixture.report_load("r0", LoadReport { leaving: true, ..load_report(0, 8) });
+    let (_, out) = fixture.request(0);
     assert_eq!(reasons(&out), [Reason::NoRunner]);
 }
 
 #[test]
-fn a_version_that_no_runner_has_is_refused() {
-    let mut world = world(1);
-    let ask = RunnerRequest { pin: Some("v9".into()), purpose: Purpose::Resume, ..world.draft(0) };
-    assert_eq!(reasons(&world.step(Event::Request(ask))), [Reason::NoRunner]);
-    assert!(world.core.runners().all(|(_, r)| r.entry == ENTRY));
+fn a_version_without_runners_is_rejected() {
+    let mut fixture = fixture(1);
+    let request = RunnerRequest {
+        pin: Some("v9".into()),
+        purpose: Purpose::Resume,
+        ..fixture.new_request(0)
+    };
+    assert_eq!(reasons(&fixture.step(Event::Request(request))), [Reason::NoRunner]);
+    assert!(fixture.core.runners().all(|(_, r)| r.entry == ENTRY));
 }
