--- a/crates/decide/examples/cost/main.rs
+++ b/crates/decide/examples/cost/main.rs
@@ -1,4 +1,4 @@
-//! Prints what one decision costs, an ask and its end, at today's and at the design's sizes.
+//! Measures the cost of a decision, a request and its end, at current and at design sizes.
 //!
 //! `cargo run --release -p bilberryfront-decide --example cost`
 
--- a/crates/decide/examples/spread.rs
+++ b/crates/decide/examples/spread.rs
@@ -1,5 +1,6 @@
-//! A small deterministic trial of ways to choose a runner: six nodes, twenty runners, load reports
-//! and cache events that come late and with gaps. Prints prefix hits, time to first token and load.
+//! Deterministic simulation of runner selection policies with six nodes, twenty runners, and
+//! delayed load reports and cache events, some of which are lost. Prints prefix hits, time to first
+//! token and load.
 //!
 //! `cargo run --release -p bilberryfront-decide --example spread`
 
@@ -27,33 +28,33 @@
 const RUNNERS: usize = 20;
 const DOMAINS: usize = 3;
 const SLOTS: usize = 8;
-/// Prefixes that a runner's cache holds, of all that are asked for.
-const CACHE: usize = 40;
+/// Number of prefixes that a runner's cache holds, and of all requested prefixes.
+const CACHED_PREFIXES: usize = 40;
 const PREFIXES: usize = 600;
-/// One step of simulated time, in milliseconds, and their number.
-const STEP: u64 = 10;
+/// Duration of one step of simulated time, and number of steps.
+const STEP_MS: u64 = 10;
 const STEPS: u64 = 30_000;
-/// Steps between two reports of a runner, and how old a report is.
-const PERIOD: u64 = 50;
-/// Chance that a cache event is lost.
-const LOSS: f64 = 0.05;
-/// Work of a prefill without and with its prefix in the cache, and of the rest, in steps.
-const COLD: f64 = 150.0;
-const WARM: f64 = 20.0;
-const DECODE: std::ops::Range<f64> = 200.0..600.0;
+/// Interval of a runner's reports, and their age on arrival.
+const REPORT_PERIOD_STEPS: u64 = 50;
+/// Probability that a cache event is lost.
+const EVENT_LOSS_RATE: f64 = 0.05;
+/// Work of a prefill without and with its prefix in the cache, and of decoding.
+const UNCACHED_PREFILL_STEPS: f64 = 150.0;
+const CACHED_PREFILL_STEPS: f64 = 20.0;
+const DECODE_STEPS: std::ops::Range<f64> = 200.0..600.0;
 
-/// How runners are chosen.
+/// Runner selection policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
-    /// Any runner.
+    /// A random runner.
     Random,
-    /// The least loaded by the last report, own sends uncounted.
+    /// The least loaded runner according to the last reports, ignoring the node's own requests.
     Reported,
-    /// The core, told of no prefix: the less loaded of two, own domain first.
+    /// The core without prefixes: the less loaded of two random runners, local domain first.
     Two,
-    /// The core, with homes of prefixes that differ from domain to domain.
+    /// The core with prefixes hashed differently in each domain.
     Apart,
-    /// The core as it is.
+    /// The unmodified core.
     Core,
 }
 
@@ -64,7 +65,7 @@
     );
     for load in [0.5, 0.7, 0.85] {
         for policy in [Policy::Random, Policy::Reported, Policy::Two, Policy::Apart, Policy::Core] {
-            Trial::new(policy).run(load);
+            Simulation::new(policy).run(load);
         }
     }
 }
@@ -73,12 +74,13 @@
 struct Job {
     node: usize,
     ticket: Ticket,
-    asked: u64,
+    requested_at: u64,
     prefill: f64,
     decode: f64,
 }
 
-/// A model engine: continuous batching that slows down past its slots, and a small prefix cache.
+/// Simulated model engine with a small prefix cache, and with continuous batching that slows down
+/// when there are more requests than slots.
 #[derive(Default)]
 struct Engine {
     jobs: Vec<Job>,
@@ -88,27 +90,27 @@
 }
 
 impl Engine {
-    fn touch(&mut self, prefix: u64) -> bool {
-        let at = self.cache.iter().position(|p| *p == prefix);
-        match at {
-            Some(at) => _ = self.cache.remove(at),
-            None => self.tell(prefix, true),
+    fn use_prefix(&mut self, prefix: u64) -> bool {
+        let position = self.cache.iter().position(|p| *p == prefix);
+        match position {
+            Some(position) => _ = self.cache.remove(position),
+            None => self.push_event(prefix, true),
         }
         self.cache.push_back(prefix);
-        if self.cache.len() > CACHE {
-            let oldest = self.cache.pop_front().expect("it is over-full");
-            self.tell(oldest, false);
+        if self.cache.len() > CACHED_PREFIXES {
+            let oldest = self.cache.pop_front().expect("the cache is over its capacity");
+            self.push_event(oldest, false);
         }
-        at.is_some()
+        position.is_some()
     }
 
-    fn tell(&mut self, prefix: u64, held: bool) {
+    fn push_event(&mut self, prefix: u64, held: bool) {
         self.sequence += 1;
         self.events.push(CacheEvent { sequence: self.sequence, prefix, held });
     }
 }
 
-struct Trial {
+struct Simulation {
     policy: Policy,
     rng: SmallRng,
     nodes: Vec<Core>,
@@ -116,21 +118,21 @@
     account: AccountKey,
     keys: Vec<Vec<RunnerKey>>,
     engines: Vec<Engine>,
-    /// Reports on their way, one a runner.
+    /// Reports in transit, one per runner.
     reports: Vec<LoadReport>,
-    /// When each request was asked for, and its prefix.
-    open: BTreeMap<Ticket, (u64, u64)>,
+    /// Start step and prefix of each request that is not at a runner yet.
+    pending: BTreeMap<Ticket, (u64, u64)>,
     start: Instant,
-    firsts: Vec<u64>,
+    first_token_ms: Vec<u64>,
     loads: Vec<usize>,
     hits: u64,
     sent: u64,
-    refused: u64,
+    rejected: u64,
 }
 
-impl Trial {
-    fn new(policy: Policy) -> Trial {
-        let catalog = Arc::new(Catalog::default().updated(1, &doc()));
+impl Simulation {
+    fn new(policy: Policy) -> Simulation {
+        let catalog = Arc::new(Catalog::default().updated(1, &catalog_doc()));
         let start = Instant::now();
         let place = |i: usize| Location { region: "r".into(), domain: domain(i) };
         let mut nodes = (0..NODES).map(|i| Core::new(i as u64 + 1, place(i))).collect::<Vec<_>>();
@@ -140,10 +142,10 @@
                 Event::Catalog { revision: catalog.revision, doc: Arc::new(catalog.doc()) },
                 &mut Vec::new(),
             );
-            core.step(start, Event::Instances(list()), &mut Vec::new());
+            core.step(start, Event::Instances(instance_list()), &mut Vec::new());
         }
         let keys = nodes.iter().map(|c| c.runners().map(|(k, _)| k).collect()).collect();
-        Trial {
+        Simulation {
             policy,
             rng: SmallRng::seed_from_u64(42),
             nodes,
@@ -151,55 +153,56 @@
             account: catalog.account("desk").expect("the account was just made"),
             keys,
             engines: (0..RUNNERS).map(|_| Engine::default()).collect(),
-            reports: (0..RUNNERS).map(|_| report(0, Vec::new())).collect(),
-            open: BTreeMap::new(),
+            reports: (0..RUNNERS).map(|_| load_report(0, Vec::new())).collect(),
+            pending: BTreeMap::new(),
             start,
-            firsts: Vec::new(),
+            first_token_ms: Vec::new(),
             loads: Vec::new(),
             hits: 0,
             sent: 0,
-            refused: 0,
+            rejected: 0,
         }
     }
 
     fn run(mut self, load: f64) {
-        let mean = f64::midpoint(DECODE.start, DECODE.end) + f64::midpoint(COLD, WARM);
+        let mean = f64::midpoint(DECODE_STEPS.start, DECODE_STEPS.end)
+            + f64::midpoint(UNCACHED_PREFILL_STEPS, CACHED_PREFILL_STEPS);
         let rate = load * (RUNNERS * SLOTS) as f64 / mean;
-        let zipf = zipf();
+        let weights = zipf_weights();
         for step in 0..STEPS {
             let arrivals = rate.floor() as u32 + u32::from(self.rng.random_bool(rate.fract()));
-            (0..arrivals).for_each(|_| self.arrive(step, &zipf));
-            self.work(step);
-            if step % PERIOD == 0 {
-                self.report(step);
+            (0..arrivals).for_each(|_| self.submit_request(step, &weights));
+            self.run_engines(step);
+            if step % REPORT_PERIOD_STEPS == 0 {
+                self.deliver_reports(step);
             }
             if step % 5 == 0 {
-                (0..NODES).for_each(|n| self.event(step, n, Event::Tick));
+                (0..NODES).for_each(|n| self.handle_event(step, n, Event::Tick));
                 self.loads.extend(self.engines.iter().map(|e| e.jobs.len()));
             }
         }
-        self.print(load);
+        self.print_results(load);
     }
 
-    fn arrive(&mut self, step: u64, zipf: &[f64]) {
-        let at = self.rng.random_range(0.0..zipf[PREFIXES - 1]);
-        let prefix = zipf.partition_point(|sum| *sum < at) as u64;
+    fn submit_request(&mut self, step: u64, weights: &[f64]) {
+        let target = self.rng.random_range(0.0..weights[PREFIXES - 1]);
+        let prefix = weights.partition_point(|sum| *sum < target) as u64;
         let node = self.rng.random_range(0..NODES);
-        let ticket = Ticket(self.sent + self.refused + self.open.len() as u64);
-        self.open.insert(ticket, (step, prefix));
+        let ticket = Ticket(self.sent + self.rejected + self.pending.len() as u64);
+        self.pending.insert(ticket, (step, prefix));
         match self.policy {
             Policy::Random => {
                 let runner = self.rng.random_range(0..RUNNERS);
-                self.send(node, runner, ticket);
+                self.start_job(node, runner, ticket);
             }
             Policy::Reported => {
-                let told = |r: &usize| self.reports[*r].running;
-                let runner = (0..RUNNERS).min_by_key(told).expect("there are runners");
-                self.send(node, runner, ticket);
+                let reported = |r: &usize| self.reports[*r].running;
+                let runner = (0..RUNNERS).min_by_key(reported).expect("there are runners");
+                self.start_job(node, runner, ticket);
             }
             Policy::Two | Policy::Apart | Policy::Core => {
-                let prefix = (self.policy != Policy::Two).then(|| self.salted(node, prefix));
-                let ask = RunnerRequest {
+                let prefix = (self.policy != Policy::Two).then(|| self.domain_prefix(node, prefix));
+                let request = RunnerRequest {
                     ticket,
                     entry: self.entry,
                     account: self.account,
@@ -208,47 +211,47 @@
                     avoid: None,
                     purpose: Purpose::First,
                 };
-                self.event(step, node, Event::Request(ask));
+                self.handle_event(step, node, Event::Request(request));
             }
         }
     }
 
-    /// With homes apart each domain hashes a prefix differently.
-    fn salted(&self, node: usize, prefix: u64) -> u64 {
+    /// Returns the prefix as used by a node; with [`Policy::Apart`] it differs between domains.
+    fn domain_prefix(&self, node: usize, prefix: u64) -> u64 {
         let salt = if self.policy == Policy::Apart { node % DOMAINS } else { 0 };
         prefix ^ ((salt as u64) << 32)
     }
 
-    fn event(&mut self, step: u64, node: usize, event: Event) {
+    fn handle_event(&mut self, step: u64, node: usize, event: Event) {
         let mut out = Vec::new();
-        let now = self.start + Duration::from_millis(step * STEP);
+        let now = self.start + Duration::from_millis(step * STEP_MS);
         self.nodes[node].step(now, event, &mut out);
         for action in out {
             match action {
                 Action::Grant(grant) => {
                     let runner = self.keys[node].iter().position(|k| *k == grant.runner);
-                    self.send(node, runner.expect("a known runner"), grant.ticket);
+                    self.start_job(node, runner.expect("a known runner"), grant.ticket);
                 }
-                Action::Reject(refuse) => {
-                    self.open.remove(&refuse.ticket);
-                    self.refused += 1;
+                Action::Reject(rejection) => {
+                    self.pending.remove(&rejection.ticket);
+                    self.rejected += 1;
                 }
             }
         }
     }
 
-    fn send(&mut self, node: usize, runner: usize, ticket: Ticket) {
-        let (asked, prefix) = self.open.remove(&ticket).expect("it was asked for");
-        let hit = self.engines[runner].touch(prefix);
+    fn start_job(&mut self, node: usize, runner: usize, ticket: Ticket) {
+        let (requested_at, prefix) = self.pending.remove(&ticket).expect("the request is pending");
+        let hit = self.engines[runner].use_prefix(prefix);
         self.sent += 1;
         self.hits += u64::from(hit);
-        let prefill = if hit { WARM } else { COLD };
-        let decode = self.rng.random_range(DECODE);
-        self.engines[runner].jobs.push(Job { node, ticket, asked, prefill, decode });
+        let prefill = if hit { CACHED_PREFILL_STEPS } else { UNCACHED_PREFILL_STEPS };
+        let decode = self.rng.random_range(DECODE_STEPS);
+        self.engines[runner].jobs.push(Job { node, ticket, requested_at, prefill, decode });
     }
 
-    /// Each engine works for one step.
-    fn work(&mut self, step: u64) {
+    /// Simulates one step of each engine.
+    fn run_engines(&mut self, step: u64) {
         let mut ended = Vec::new();
         for engine in &mut self.engines {
             let speed = (SLOTS as f64 / engine.jobs.len() as f64).min(1.0);
@@ -260,7 +263,7 @@
                     job.decode -= speed;
                 }
                 if first && job.prefill <= 0.0 {
-                    self.firsts.push((step - job.asked) * STEP);
+                    self.first_token_ms.push((step - job.requested_at) * STEP_MS);
                 }
             }
             ended.extend(engine.jobs.extract_if(.., |j| j.decode <= 0.0));
@@ -268,33 +271,34 @@
         for Job { node, ticket, .. } in ended {
             let done =
                 Done { ticket, verdict: Verdict::Ok, first: None, tokens: 1, will_retry: false };
-            self.event(step, node, Event::Done(done));
+            self.handle_event(step, node, Event::Done(done));
         }
     }
 
-    /// Every node gets the reports made a period ago, and new ones set out.
-    fn report(&mut self, step: u64) {
+    /// Delivers the reports of the previous period to every node and creates new ones.
+    fn deliver_reports(&mut self, step: u64) {
         for runner in 0..RUNNERS {
             let engine = &mut self.engines[runner];
             let events = std::mem::take(&mut engine.events);
-            let kept = events.into_iter().filter(|_| !self.rng.random_bool(LOSS)).collect();
-            let next = report(engine.jobs.len() as u32, kept);
-            let told = std::mem::replace(&mut self.reports[runner], next);
+            let remaining =
+                events.into_iter().filter(|_| !self.rng.random_bool(EVENT_LOSS_RATE)).collect();
+            let next = load_report(engine.jobs.len() as u32, remaining);
+            let reported = std::mem::replace(&mut self.reports[runner], next);
             for node in 0..NODES {
-                let mut report = told.clone();
+                let mut report = reported.clone();
                 for event in &mut report.cache {
-                    event.prefix = self.salted(node, event.prefix);
+                    event.prefix = self.domain_prefix(node, event.prefix);
                 }
                 let runner = self.keys[node][runner];
-                self.event(step, node, Event::Load { runner, report });
+                self.handle_event(step, node, Event::Load { runner, report });
             }
         }
     }
 
-    fn print(mut self, load: f64) {
-        self.firsts.sort_unstable();
+    fn print_results(mut self, load: f64) {
+        self.first_token_ms.sort_unstable();
         self.loads.sort_unstable();
-        let first = |q: f64| self.firsts[(self.firsts.len() as f64 * q) as usize];
+        let first = |q: f64| self.first_token_ms[(self.first_token_ms.len() as f64 * q) as usize];
         let slots = |n: usize| n as f64 / SLOTS as f64;
         println!(
             "{load:>5} {:>9} {:>5.1}% {:>6} ms {:>6} ms {:>9.2} {:>8.2} {:>8}",
@@ -303,14 +307,14 @@
             first(0.5),
             first(0.99),
             slots(self.loads[self.loads.len() * 99 / 100]),
-            slots(*self.loads.last().expect("loads were taken")),
-            self.refused,
+            slots(*self.loads.last().expect("loads were recorded")),
+            self.rejected,
         );
     }
 }
 
-/// Running sums of the weights of all prefixes: the n-th is asked for in proportion to 1/n.
-fn zipf() -> Vec<f64> {
+/// Returns the cumulative weights of all prefixes. The weight of the n-th prefix is 1/n.
+fn zipf_weights() -> Vec<f64> {
     let weights = (1..=PREFIXES).map(|n| 1.0 / n as f64);
     weights
         .scan(0.0, |sum, w| {
@@ -320,7 +324,7 @@
         .collect()
 }
 
-fn report(running: u32, cache: Vec<CacheEvent>) -> LoadReport {
+fn load_report(running: u32, cache: Vec<CacheEvent>) -> LoadReport {
     LoadReport {
         version: "v1".into(),
         running,
@@ -335,7 +339,7 @@
     ["a", "b", "c"][i % DOMAINS].into()
 }
 
-fn list() -> InstanceList {
+fn instance_list() -> InstanceList {
     let instance = |i: usize| Instance {
         name: format!("runner-{i}").into(),
         kind: InstanceKind::Engine,
@@ -350,7 +354,7 @@
     InstanceList { revision: 1, instances: (0..RUNNERS).map(instance).collect() }
 }
 
-fn doc() -> CatalogDoc {
+fn catalog_doc() -> CatalogDoc {
     CatalogDoc {
         accounts: vec![Account { name: "desk".into(), keys: Vec::new() }],
         entries: vec![Entry {
