--- a/crates/relay/src/body.rs
+++ b/crates/relay/src/body.rs
@@ -15,12 +15,12 @@
 };
 
 /// Buffered events for a slow caller; beyond it, back-pressure reaches the runner.
-const EVENTS: usize = 16;
+const BUFFERED_EVENTS: usize = 16;
 
 /// A response body.
-pub enum Answer {
+pub enum ResponseBody {
     /// Buffered.
-    Whole(Option<Bytes>),
+    Buffered(Option<Bytes>),
     /// Streamed.
     Stream(Stream),
 }
@@ -30,11 +30,11 @@
     events: mpsc::Receiver<Bytes>,
     ended: bool,
     task: AbortHandle,
-    state: Rc<Cell<bool>>,
+    complete: Rc<Cell<bool>>,
 }
 
 /// Writing end of a stream.
-pub struct Feed {
+pub struct BodySender {
     events: mpsc::Sender<Bytes>,
     complete: Rc<Cell<bool>>,
 }
@@ -59,44 +59,44 @@
 }
 
 /// A body filled by `fill` while it is being read.
-pub fn stream<F, W>(fill: F) -> Answer
+pub fn stream<F, W>(fill: F) -> ResponseBody
 where
-    F: FnOnce(Feed) -> W,
+    F: FnOnce(BodySender) -> W,
     W: Future<Output = ()> + 'static,
 {
-    let (sender, events) = mpsc::channel(EVENTS);
-    let state = Rc::new(Cell::new(false));
-    let feed = Feed { events: sender, complete: state.clone() };
-    let task = tokio::task::spawn_local(fill(feed)).abort_handle();
-    Answer::Stream(Stream { events, ended: false, task, state })
+    let (events_sender, events) = mpsc::channel(BUFFERED_EVENTS);
+    let complete = Rc::new(Cell::new(false));
+    let sender = BodySender { events: events_sender, complete: complete.clone() };
+    let task = tokio::task::spawn_local(fill(sender)).abort_handle();
+    ResponseBody::Stream(Stream { events, ended: false, task, complete })
 }
 
-impl Feed {
+impl BodySender {
     /// Sends an event; false if the reader is gone.
     pub async fn push(&self, bytes: Bytes) -> bool {
         self.events.send(bytes).await.is_ok()
     }
 
-    /// Ends the body as complete; dropping the feed aborts it.
+    /// Ends the body as complete; dropping the sender aborts it.
     pub fn finish(self) {
         self.complete.set(true);
     }
 }
 
-impl Answer {
+impl ResponseBody {
     /// Empty body.
-    pub fn empty() -> Answer {
-        Answer::Whole(None)
+    pub fn empty() -> ResponseBody {
+        ResponseBody::Buffered(None)
     }
 }
 
-impl From<Bytes> for Answer {
-    fn from(bytes: Bytes) -> Answer {
-        Answer::Whole((!bytes.is_empty()).then_some(bytes))
+impl From<Bytes> for ResponseBody {
+    fn from(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Buffered((!bytes.is_empty()).then_some(bytes))
     }
 }
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Aborted;
 
@@ -105,24 +105,24 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut *self {
-            Answer::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Answer::Stream(stream) => stream.poll(context),
+            ResponseBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            ResponseBody::Stream(stream) => stream.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Answer::Whole(bytes) => bytes.is_none(),
-            Answer::Stream(stream) => stream.ended,
+            ResponseBody::Buffered(bytes) => bytes.is_none(),
+            ResponseBody::Stream(stream) => stream.ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Answer::Whole(bytes) => {
+            ResponseBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Answer::Stream(_) => SizeHint::default(),
+            ResponseBody::Stream(_) => SizeHint::default(),
         }
     }
 }
@@ -137,7 +137,7 @@
             Poll::Ready(Some(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
             Poll::Ready(None) => {
                 self.ended = true;
-                let complete = self.state.get();
+                let complete = self.complete.get();
                 Poll::Ready((!complete).then_some(Err(Aborted)))
             }
         }
--- a/crates/relay/src/control/feed.rs
+++ b/crates/relay/src/control/feed.rs
@@ -1,4 +1,4 @@
-//! Watches tables of the store.
+//! Watchers of tables in the store.
 
 use {
     crate::{
@@ -16,17 +16,17 @@
 
 /// Initial backoff; doubles with each failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
-/// Maximum backoff of the watcher that detects the store's return.
-pub const PROBE_PAUSE: Duration = Duration::from_millis(800);
-/// Maximum backoff of all others, which are notified of it. They keep polling, because the store may
-/// reject a single table only.
-pub const REST_PAUSE: Duration = Duration::from_millis(3_200);
+/// Maximum backoff of the watcher that detects the end of a store outage.
+pub const PROBE_BACKOFF_MAX: Duration = Duration::from_millis(800);
+/// Maximum backoff of all other watchers, which are notified of the end. They poll as well, because
+/// the store may reject a single table only.
+pub const STANDBY_BACKOFF_MAX: Duration = Duration::from_millis(3_200);
 
-/// Age from which a pending poll is abandoned once another poll succeeds after an outage. A silent
-/// store never responds to it, and its timeout is long.
-const STALE_POLL: Duration = Duration::from_millis(500);
+/// Age from which a pending poll is abandoned if another poll succeeds after an outage. A store
+/// that dropped the request never responds to it, and the timeout of a poll is long.
+const STALE_POLL_AGE: Duration = Duration::from_millis(500);
 
-/// An event of a table.
+/// Event of a watched table.
 #[derive(Clone, Debug)]
 pub struct FeedEvent<T> {
     /// Table.
@@ -38,17 +38,17 @@
 /// Change of a table.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// Complete contents.
-    Whole(Rows),
+    /// Complete contents of the table.
+    Snapshot(Rows),
     /// Changed rows.
     Rows(Rows),
-    /// The store became unavailable.
-    Down,
-    /// The store became available.
-    Up,
+    /// The store has become unavailable.
+    Unavailable,
+    /// The store has become available again.
+    Available,
 }
 
-/// Watches one table while it is active.
+/// Watcher that polls one table while it is active.
 pub struct FeedWatcher<S, T> {
     /// Store.
     pub store: S,
@@ -57,17 +57,17 @@
     /// Table.
     pub table: T,
     /// Minimum interval of polls.
-    pub every: Duration,
-    /// Long-poll wait; may change.
+    pub min_interval: Duration,
+    /// Long-poll wait; may change at any time.
     pub wait: Rc<Cell<Duration>>,
     /// Maximum backoff.
-    pub pause: Duration,
+    pub max_backoff: Duration,
     /// Whether to poll.
     pub active: watch::Receiver<bool>,
     /// Revision up to which the table is known, if it is; may be advanced by others.
     pub revision: Rc<Cell<Option<Revision>>>,
-    /// Counts the store's returns, as seen by any watcher.
-    pub returns: watch::Sender<u32>,
+    /// Number of outages whose end any watcher has detected.
+    pub recoveries: watch::Sender<u32>,
     /// Metrics.
     pub metrics: Metrics,
 }
@@ -75,7 +75,7 @@
 impl<S: Store, T: Copy> FeedWatcher<S, T> {
     /// Sends events until the receiver is dropped.
     pub async fn run(mut self, sender: mpsc::Sender<FeedEvent<T>>) {
-        // The sender of `active` lives as long as the control thread.
+        // The sender of `active` exists as long as the control thread.
         while self.active.wait_for(|active| *active).await.is_ok() {
             let mut active = self.active.clone();
             tokio::select! {
@@ -85,44 +85,44 @@
         }
     }
 
-    /// Polls until the receiver is dropped. The first poll does not wait for changes: it tells
-    /// whether the store is available.
+    /// Polls until the receiver is dropped. The first poll does not wait for changes, so that its
+    /// response shows whether the store is available.
     async fn watch(&self, sender: &mpsc::Sender<FeedEvent<T>>) {
         let mut failures = 0;
         let mut first = true;
-        let mut returns = self.returns.subscribe();
+        let mut recoveries = self.recoveries.subscribe();
         loop {
-            returns.mark_unchanged();
-            let asked = Instant::now();
+            recoveries.mark_unchanged();
+            let poll_start = Instant::now();
             let wait = if first || failures > 0 { Duration::ZERO } else { self.wait.get() };
             let Some(response) = self.poll_unless_stale(wait).await else { continue };
             first = false;
-            self.metrics.store_polled(self.name, outcome(&response));
+            self.metrics.count_store_poll(self.name, outcome(&response));
             for change in self.changes(response, &mut failures) {
                 if sender.send(FeedEvent { table: self.table, change }).await.is_err() {
                     return;
                 }
             }
             match failures {
-                0 => sleep_until(asked + self.every).await,
-                failures => self.rest(failures, &mut returns).await,
+                0 => sleep_until(poll_start + self.min_interval).await,
+                failures => self.back_off(failures, &mut recoveries).await,
             }
         }
     }
 
-    /// Evaluates a response and counts consecutive failures.
+    /// Evaluates a response, and counts consecutive failures.
     fn changes(&self, response: Result<Rows>, failures: &mut u32) -> Vec<Change> {
         let mut changes = Vec::new();
         if response.is_ok() && *failures > 0 {
             log::info!(table = self.name; "{STORE_BACK}");
-            changes.push(Change::Up);
-            self.returns.send_modify(|count| *count += 1);
+            changes.push(Change::Available);
+            self.recoveries.send_modify(|count| *count += 1);
         }
         match response {
             Ok(rows) => {
                 *failures = 0;
-                let whole = self.revision.replace(Some(rows.revision)).is_none();
-                changes.push(if whole { Change::Whole(rows) } else { Change::Rows(rows) });
+                let is_first = self.revision.replace(Some(rows.revision)).is_none();
+                changes.push(if is_first { Change::Snapshot(rows) } else { Change::Rows(rows) });
             }
             Err(StoreError::Compacted) => {
                 log::info!(table = self.name; "store history compacted: reading the whole table");
@@ -131,7 +131,7 @@
             Err(error) => {
                 if *failures == 0 {
                     log::warn!(table = self.name; "{error}");
-                    changes.push(Change::Down);
+                    changes.push(Change::Unavailable);
                 }
                 *failures += 1;
             }
@@ -139,23 +139,23 @@
         changes
     }
 
-    /// Backs off after a failure, or until another watcher has found the store available.
-    async fn rest(&self, failures: u32, returns: &mut watch::Receiver<u32>) {
+    /// Waits for the backoff after a failure, or until another watcher finds the store available.
+    async fn back_off(&self, failures: u32, recoveries: &mut watch::Receiver<u32>) {
         tokio::select! {
-            () = sleep(backoff(failures, self.pause)) => {}
-            // The sender lives as long as `self`.
-            _ = returns.changed() => {}
+            () = sleep(backoff(failures, self.max_backoff)) => {}
+            // The sender exists as long as `self`.
+            _ = recoveries.changed() => {}
         }
     }
 
-    /// Polls the store; `None` if another watcher found it back from an outage that may have
-    /// swallowed the poll.
+    /// Polls the store; `None` if the poll is old and another watcher has detected the end of an
+    /// outage since, in which the poll may have been lost.
     async fn poll_unless_stale(&self, wait: Duration) -> Option<Result<Rows>> {
-        let mut returns = self.returns.subscribe();
+        let mut recoveries = self.recoveries.subscribe();
         let stale = async {
-            sleep(STALE_POLL).await;
-            // The sender lives as long as `self`.
-            _ = returns.changed().await;
+            sleep(STALE_POLL_AGE).await;
+            // The sender exists as long as `self`.
+            _ = recoveries.changed().await;
         };
         tokio::select! {
             biased;
@@ -180,8 +180,9 @@
     }
 }
 
-/// Jitter, so that nodes do not return all at once.
-fn backoff(failures: u32, most: Duration) -> Duration {
-    let pause = BACKOFF_MIN * 2u32.saturating_pow(failures.min(8) - 1);
-    pause.min(most).mul_f64(rand::rng().random_range(0.5..1.0))
+/// Returns the backoff after a number of failures, with jitter so that nodes do not poll at the
+/// same time.
+fn backoff(failures: u32, max_backoff: Duration) -> Duration {
+    let backoff = BACKOFF_MIN * 2u32.saturating_pow(failures.min(8) - 1);
+    backoff.min(max_backoff).mul_f64(rand::rng().random_range(0.5..1.0))
 }
