--- a/crates/relay/src/control/members.rs
+++ b/crates/relay/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Membership: the other nodes and the messages exchanged with them.
+//! Membership: the other nodes, and the messages exchanged with them.
 
 mod send;
 
@@ -33,14 +33,14 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// Time after the start for which registered nodes without a heartbeat are ranked as readers.
-const RANK_UNSEEN: Duration = Duration::from_secs(3);
-/// Time for which a node must be dead before its registration is deleted.
+/// Time after the start in which registered nodes without a heartbeat are ranked as readers.
+const RANK_UNSEEN_PERIOD: Duration = Duration::from_secs(3);
+/// Time after which the registration of a dead node is deleted.
 const RETENTION: Duration = Duration::from_secs(600);
-/// Scheme of callers' addresses in the membership.
+/// Scheme of the URLs for callers in the membership.
 const SCHEME: &str = "http://";
 
-/// A started transport with its membership.
+/// Started transport with its membership.
 pub(super) struct Joined {
     pub(super) membership: Membership,
     pub(super) events: mpsc::Receiver<Received>,
@@ -55,29 +55,29 @@
     start: Instant,
     metrics: Metrics,
     draining: bool,
-    /// Whether the set of nodes changed since it was last read.
+    /// Whether the nodes have changed since they were last read.
     changed: bool,
-    /// Whether registered nodes without a heartbeat are in the ranking.
+    /// Whether registered nodes without a heartbeat are part of the ranking.
     ranks_unseen: bool,
     routes: Routes,
-    /// Since when nodes have been dead.
+    /// Time at which each dead node was detected as dead.
     dead: BTreeMap<CompactString, Instant>,
     scope: Scope,
 }
 
-/// What the control thread derives from the membership.
+/// State that the control thread derives from the membership.
 pub(super) struct Nodes {
     /// Nodes for address responses.
     pub(super) ready: Vec<NodeAddress>,
-    /// Nodes of the own failure domain by rank.
+    /// Nodes of this node's failure domain by rank.
     pub(super) ranking: Ranking,
     /// Number of failure domains.
     pub(super) domains: usize,
-    /// Which loads this node knows.
+    /// Runners whose load this node knows.
     pub(super) scope: Scope,
 }
 
-/// Starts the transport with a certificate of the authority.
+/// Starts the peer transport with a certificate signed by the authority.
 pub(super) fn listen(
     settings: &Settings,
     authority: &Authority,
@@ -98,10 +98,10 @@
         authority: authority.certificate.clone().into_bytes(),
     };
     let (net, events) = PeerNet::start(&config)?;
-    let life = NodeIncarnation { epoch: wall(), incarnation: Incarnation(rand::random()) };
-    let named = Me { name: me.name.clone(), life, location: location(&me) };
+    let life = NodeIncarnation { epoch: unix_millis(), incarnation: Incarnation(rand::random()) };
+    let own_node = Me { name: me.name.clone(), life, location: location(&me) };
     let start = Instant::now();
-    let members = Members::new(rand::random(), start, named);
+    let members = Members::new(rand::random(), start, own_node);
     let membership = Membership {
         members,
         net,
@@ -121,7 +121,7 @@
 
 impl Membership {
     /// Marks this node as ready.
-    pub(super) fn ready(&mut self) {
+    pub(super) fn mark_ready(&mut self) {
         if !self.draining {
             self.members.ready();
             self.changed = true;
@@ -129,7 +129,7 @@
     }
 
     /// Marks this node as draining.
-    pub(super) fn leave(&mut self, now: Instant) {
+    pub(super) fn mark_draining(&mut self, now: Instant) {
         if !std::mem::replace(&mut self.draining, true) {
             self.members.drain(now);
             self.changed = true;
@@ -137,13 +137,13 @@
     }
 
     /// Applies registrations of nodes.
-    pub(super) fn list(&mut self, rows: &Rows, whole: bool) {
-        if whole {
+    pub(super) fn apply_registrations(&mut self, rows: &Rows, is_snapshot: bool) {
+        if is_snapshot {
             self.listed.clear();
         }
         for row in &rows.rows {
             let Some(name) = join::node_name(&row.key) else { continue };
-            match join::address(row) {
+            match join::parse_node_address(row) {
                 Some(node) => _ = self.listed.insert(name.into(), node),
                 None => _ = self.listed.remove(name),
             }
@@ -154,7 +154,7 @@
         self.changed = true;
     }
 
-    /// Performs periodic work; returns runners reported as failed.
+    /// Performs due work; returns the runners that were reported as failed.
     pub(super) fn tick(
         &mut self,
         now: Instant,
@@ -165,14 +165,14 @@
             self.members.set_revision(*revision, &mut out);
         }
         self.members.tick(now, &mut out);
-        let lost = self.carry_out(out, row);
-        if self.changed || self.routes.are_old(now) {
+        let failed = self.carry_out(out, row);
+        if self.changed || self.routes.are_stale(now) {
             self.update_routes(now);
         }
-        lost
+        failed
     }
 
-    /// Handles a peer event; returns runners reported as failed.
+    /// Handles a peer event; returns the runners that were reported as failed.
     pub(super) fn receive(
         &mut self,
         now: Instant,
@@ -189,9 +189,9 @@
         self.carry_out(out, row)
     }
 
-    /// The nodes, if they changed since the last call.
+    /// Returns the derived state if the nodes have changed since the last call.
     pub(super) fn changed_nodes(&mut self, now: Instant) -> Option<Nodes> {
-        let unseen = now < self.start + RANK_UNSEEN;
+        let unseen = now < self.start + RANK_UNSEEN_PERIOD;
         let expired = std::mem::replace(&mut self.ranks_unseen, unseen) && !unseen;
         if !std::mem::take(&mut self.changed) && !expired {
             return None;
@@ -236,7 +236,8 @@
         self.members.addresses().into_iter().filter_map(node).collect()
     }
 
-    /// Registered nodes of the own failure domain that have been dead for long.
+    /// Takes the registered nodes of this node's failure domain that have been dead for
+    /// [`RETENTION`].
     pub(super) fn stale_registrations(&mut self, now: Instant) -> Vec<CompactString> {
         let is_stale = |(name, since): &(&CompactString, &Instant)| {
             let local = self.listed.get(*name).is_some_and(|node| node.domain == self.me.domain);
@@ -248,7 +249,7 @@
         stale
     }
 
-    /// Name of this node.
+    /// Returns the name of this node.
     pub(super) fn name(&self) -> &CompactString {
         &self.me.name
     }
@@ -266,12 +267,12 @@
         out: Vec<Output>,
         row: Option<&(Revision, Bytes)>,
     ) -> Vec<CompactString> {
-        let mut lost = Vec::new();
+        let mut failed = Vec::new();
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(&to, &message),
                 Output::PushCatalog(target) => {
-                    if let Some(message) = row.and_then(push) {
+                    if let Some(message) = row.and_then(catalog_push) {
                         self.send(&[target], &message);
                     }
                 }
@@ -283,14 +284,14 @@
                         _ => _ = self.dead.remove(&name),
                     }
                 }
-                Output::Hint(hint) => lost.push(hint.runner),
+                Output::Hint(hint) => failed.push(hint.runner),
             }
         }
-        lost
+        failed
     }
 }
 
-fn push((revision, value): &(Revision, Bytes)) -> Option<PeerMessage> {
+fn catalog_push((revision, value): &(Revision, Bytes)) -> Option<PeerMessage> {
     let doc = String::from_utf8(value.to_vec()).ok()?;
     Some(PeerMessage::CatalogPush(CatalogPush { revision: *revision, doc }))
 }
@@ -318,9 +319,9 @@
     }
 }
 
-/// Milliseconds since the Unix epoch. Orders incarnations only; the membership repairs a clock that
-/// was set back.
-fn wall() -> u64 {
+/// Returns the time in milliseconds since the Unix epoch. It only orders incarnations, and the
+/// membership corrects the effect of a clock that was set back.
+fn unix_millis() -> u64 {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     time.unwrap_or_default().as_millis() as u64
 }
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The runners as the traffic thread sees them: registrations, load and health.
+//! Runners as known to the traffic thread: registrations, load and health.
 
 mod choose;
 mod drain;
@@ -32,15 +32,15 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Minimum time between two identity checks of the same unlisted runner.
-const MEET_AGAIN: Duration = Duration::from_secs(1);
+/// Minimum interval of identity checks of an unlisted runner.
+const IDENTITY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 new_key_type! {
-    /// A runner in one incarnation.
+    /// Key of one incarnation of a runner.
     pub struct RunnerKey;
 }
 
-/// All runners. Clones share state.
+/// All runners. Clones share their state.
 #[derive(Clone)]
 pub struct Fleet {
     inner: Rc<RefCell<Inner>>,
@@ -51,25 +51,25 @@
 
 #[derive(Default)]
 struct Inner {
-    /// Whether a registration list was ever applied.
-    known: bool,
+    /// Whether a list of registrations has been applied.
+    loaded: bool,
     runners: SlotMap<RunnerKey, Runner>,
     by_id: FxHashMap<CompactString, RunnerKey>,
     services: FxHashMap<CompactString, Vec<RunnerKey>>,
     /// Ids of runners that failed since the last update to peers.
     failures: Vec<CompactString>,
-    /// Restarted runners found since the last update to peers.
+    /// Restarts detected since the last update to peers.
     restarts: Vec<Restart>,
-    /// This node's failure domain; empty until it is set.
+    /// Failure domain of this node; empty until it is set.
     domain: CompactString,
-    /// This node's name; empty until it is set.
+    /// Name of this node; empty until it is set.
     me: CompactString,
     /// Nodes that share the runners' rate limits.
     nodes: Arc<Vec<NodeAddress>>,
-    /// Which loads peers report.
+    /// Runners whose load peers report to this node.
     scope: Scope,
-    /// Unlisted runners seen at known addresses, with the time of the last identity check.
-    strangers: FxHashMap<CompactString, Instant>,
+    /// Unlisted runners found at known addresses, with the time of the last identity check.
+    identity_checks: FxHashMap<CompactString, Instant>,
 }
 
 struct Runner {
@@ -78,26 +78,26 @@
     address_hash: u64,
     pool: Pool,
     health: Health,
-    /// Load of this node's streams.
-    own: Load,
-    /// Calls of this node in flight, for plain services.
+    /// Load of this node's requests on an engine.
+    own_load: Load,
+    /// Number of this node's calls in flight, for a plain service.
     calls: u32,
     /// Load reported by peers.
     peer_loads: PeerLoads,
-    /// Whether `own` changed since the last update to peers.
+    /// Whether `own_load` has changed since the last update to peers.
     dirty: bool,
-    /// Its rate limit for all nodes together.
+    /// Rate limit that the runner advertises for all nodes together.
     limit: Option<AdvertisedLimit>,
-    /// Its announcement that it leaves.
+    /// Announcement by the runner that it is draining.
     drain: Option<Announcement>,
-    /// Time until which it wants no request of this node.
+    /// Time until which the runner rejects requests of this node.
     paused_until: Option<Instant>,
 }
 
-/// A runner's address and identity.
+/// Address and identity of a runner.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Arena key.
+    /// Key in the fleet.
     pub key: RunnerKey,
     /// Runner id.
     pub id: CompactString,
@@ -114,7 +114,7 @@
 }
 
 impl Fleet {
-    /// An empty fleet with seeded tie-breaking.
+    /// Creates an empty fleet whose random tie-breaking uses this seed.
     pub fn seeded(seed: u64) -> Fleet {
         let random = Rc::new(RefCell::new(SmallRng::seed_from_u64(seed)));
         Fleet { inner: Rc::default(), changed: Rc::default(), lost: Rc::default(), random }
@@ -125,20 +125,20 @@
         self.inner.borrow_mut().domain.clone_from(domain);
     }
 
-    /// Sets which loads peers report.
+    /// Sets the runners whose load peers report to this node.
     pub fn set_scope(&self, scope: Scope) {
         self.inner.borrow_mut().scope = scope;
     }
 
-    /// Applies the latest registrations. Idle connections of removed or restarted runners are
-    /// closed; requests in flight continue.
+    /// Replaces the registrations. Idle connections to removed or restarted runners are closed;
+    /// requests in flight continue.
     pub fn update(&self, registrations: &[Registration]) {
         let inner = &mut *self.inner.borrow_mut();
-        inner.known = true;
+        inner.loaded = true;
         let listed: FxHashSet<&str> = registrations.iter().map(|r| r.id.as_str()).collect();
-        let gone: Vec<CompactString> =
+        let removed: Vec<CompactString> =
             inner.by_id.keys().filter(|id| !listed.contains(id.as_str())).cloned().collect();
-        for id in gone {
+        for id in removed {
             inner.by_id.remove(&id).map(|key| inner.runners.remove(key));
         }
         for registration in registrations {
@@ -152,38 +152,43 @@
         inner.divide_limits(Instant::now());
     }
 
-    /// Whether a registration list was ever applied.
-    pub fn is_known(&self) -> bool {
-        self.inner.borrow().known
+    /// Returns whether a list of registrations has been applied.
+    pub fn is_loaded(&self) -> bool {
+        self.inner.borrow().loaded
     }
 
-    /// Whether a failure domain differs from this node's.
-    pub fn is_far(&self, domain: &CompactString) -> bool {
+    /// Returns whether a failure domain differs from this node's.
+    pub fn is_remote(&self, domain: &CompactString) -> bool {
         self.inner.borrow().domain != *domain
     }
 
     /// Takes an idle connection to a runner.
-    pub fn idle(&self, key: RunnerKey, now: Instant) -> Option<Connection> {
+    pub fn take_idle_connection(&self, key: RunnerKey, now: Instant) -> Option<Connection> {
         self.inner.borrow_mut().runners.get_mut(key)?.pool.take(now)
     }
 
-    /// Returns a connection to the runner's pool.
-    pub fn keep(&self, key: RunnerKey, line: Connection, limit: Option<Duration>) {
+    /// Puts a connection back into the runner's pool; `limit` is the runner's idle timeout.
+    pub fn return_connection(
+        &self,
+        key: RunnerKey,
+        connection: Connection,
+        limit: Option<Duration>,
+    ) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            runner.pool.put(Instant::now(), line, limit);
+            runner.pool.put(Instant::now(), connection, limit);
         }
     }
 
-    fn change(&self, key: RunnerKey, change: impl FnOnce(&mut Load)) {
+    fn update_own_load(&self, key: RunnerKey, change: impl FnOnce(&mut Load)) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            change(&mut runner.own);
+            change(&mut runner.own_load);
             runner.dirty = true;
             self.changed.notify_one();
         }
     }
 
-    /// The runner that currently owns this endpoint's address, in any incarnation.
-    pub fn at(&self, endpoint: &Endpoint) -> Option<Endpoint> {
+    /// Returns the runner that is registered at this endpoint's address, in any incarnation.
+    pub fn find_by_address(&self, endpoint: &Endpoint) -> Option<Endpoint> {
         let inner = self.inner.borrow();
         if inner.runners.contains_key(endpoint.key) {
             return Some(endpoint.clone());
@@ -192,50 +197,51 @@
         inner.runners.iter().find(here).map(|(key, _)| inner.endpoint(key))
     }
 
-    /// Whether the runner accepts requests and has not failed since its last response. Unlike
-    /// [`Fleet::is_ejected`], this ignores cool-downs and failures of its neighbours.
+    /// Returns whether the runner accepts requests and has not failed since its last response.
+    /// Unlike [`Fleet::is_ejected`], this ignores cool-downs and failures of other runners in its
+    /// failure domain.
     pub fn is_available(&self, key: RunnerKey) -> bool {
         let inner = self.inner.borrow();
         let is_available = |r: &Runner| r.is_ready() && !r.health.has_failed();
         inner.runners.get(key).is_some_and(is_available)
     }
 
-    /// Whether the runner is gone, restarted, or failed with no success since.
+    /// Returns whether the runner was removed, restarted, or has failed since its last response.
     pub fn is_lost(&self, key: RunnerKey) -> bool {
         self.inner.borrow().runners.get(key).is_none_or(|r| r.health.has_failed())
     }
 
     /// Records a response from a runner.
-    pub fn alive(&self, key: RunnerKey, now: Instant) {
+    pub fn record_response(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            runner.health.alive(now);
+            runner.health.record_response(now);
         }
     }
 
-    /// Time of the runner's last response to this node.
+    /// Returns the time of the runner's last response to this node.
     pub fn last_seen(&self, key: RunnerKey) -> Option<Instant> {
         self.inner.borrow().runners.get(key)?.health.last_seen()
     }
 
-    /// Records a connection error or a timeout.
-    pub fn failed(&self, key: RunnerKey, now: Instant) {
-        self.inner.borrow_mut().failed(key, now);
+    /// Records a connection error or a timeout, which is reported to peers.
+    pub fn record_failure(&self, key: RunnerKey, now: Instant) {
+        self.inner.borrow_mut().record_failure(key, now);
         self.changed.notify_one();
         self.lost.notify_waiters();
     }
 
     /// Records that another runner, or another incarnation, responded at the runner's address. This
-    /// is not reported to peers and makes no other runner suspect: after an outage of a domain it
-    /// shows that the domain is back.
-    pub fn replaced(&self, key: RunnerKey, now: Instant) {
+    /// is not reported to peers and makes no other runner suspect: after an outage of a failure
+    /// domain it shows that the domain is available again.
+    pub fn record_replacement(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            runner.health.failed(now);
+            runner.health.record_failure(now);
             runner.pool.clear();
         }
         self.lost.notify_waiters();
     }
 
-    /// Resolves once a runner counts as lost.
+    /// Waits until the runner is lost; see [`Fleet::is_lost`].
     pub async fn until_lost(&self, key: RunnerKey) {
         loop {
             let changed = self.lost.notified();
@@ -246,38 +252,39 @@
         }
     }
 
-    /// Whether an id is unlisted and not checked recently; marks it as checked.
-    pub fn is_stranger(&self, id: &CompactString, now: Instant) -> bool {
+    /// Returns whether the identity of a runner has to be checked, because it is unlisted and was
+    /// not checked recently; records the check.
+    pub fn begin_identity_check(&self, id: &CompactString, now: Instant) -> bool {
         let inner = &mut *self.inner.borrow_mut();
-        inner.strangers.retain(|_, met| now < *met + MEET_AGAIN);
-        !inner.by_id.contains_key(id) && inner.strangers.insert(id.clone(), now).is_none()
+        inner.identity_checks.retain(|_, checked_at| now < *checked_at + IDENTITY_CHECK_INTERVAL);
+        !inner.by_id.contains_key(id) && inner.identity_checks.insert(id.clone(), now).is_none()
     }
 
-    /// Records that another incarnation responds at a runner's address.
-    pub fn restarted(&self, restart: Restart) {
+    /// Records a restart found by an identity check, for peers.
+    pub fn record_restart(&self, restart: Restart) {
         self.inner.borrow_mut().restarts.push(restart);
         self.changed.notify_one();
     }
 
     /// Records that a runner rejected a request for lack of capacity.
-    pub fn full(&self, key: RunnerKey, now: Instant) {
+    pub fn record_overload(&self, key: RunnerKey, now: Instant) {
         if let Some(runner) = self.inner.borrow_mut().runners.get_mut(key) {
-            runner.health.full(now);
+            runner.health.record_overload(now);
         }
     }
 
-    /// The service of a listed runner.
+    /// Returns the service of a listed runner.
     pub fn service(&self, key: RunnerKey) -> Option<CompactString> {
         Some(self.inner.borrow().runners.get(key)?.registration.service.clone())
     }
 
-    /// Number of runners of a service that accept requests of this node now.
-    pub fn ready(&self, service: &str) -> usize {
+    /// Returns the number of runners of a service to which this node may send a request now.
+    pub fn ready_count(&self, service: &str) -> usize {
         let now = Instant::now();
         let inner = self.inner.borrow();
         let keys = inner.services.get(service).into_iter().flatten();
         let runners = keys.map(|key| &inner.runners[*key]);
-        runners.filter(|runner| runner.is_open(now)).count()
+        runners.filter(|runner| runner.accepts_requests(now)).count()
     }
 }
 
@@ -300,7 +307,7 @@
             address_hash: xxh64(registration.address.to_string().as_bytes(), 0),
             pool: Pool::default(),
             health: Health::default(),
-            own: Load::default(),
+            own_load: Load::default(),
             calls: 0,
             peer_loads: PeerLoads::default(),
             dirty: false,
@@ -312,17 +319,17 @@
         self.by_id.insert(registration.id.clone(), key);
     }
 
-    fn failed(&mut self, key: RunnerKey, now: Instant) {
+    fn record_failure(&mut self, key: RunnerKey, now: Instant) {
         let Some(runner) = self.runners.get_mut(key) else { return };
-        runner.health.failed(now);
+        runner.health.record_failure(now);
         runner.pool.clear();
         self.failures.push(runner.registration.id.clone());
         self.suspect_neighbours(key, now);
     }
 
-    /// Marks a whole failure domain as suspect once several of its runners have failed, since
-    /// domains mostly fail as a unit. Any response from a runner clears its mark. A draining runner
-    /// is expected to exit, which says nothing about the others.
+    /// Marks all runners of a failure domain as suspect once several of them have failed, since
+    /// domains mostly fail as a unit. A response from a runner clears its mark. Draining runners
+    /// are not counted: their exit is expected and does not indicate a failure of the domain.
     fn suspect_neighbours(&mut self, key: RunnerKey, now: Instant) {
         let Registration { service, domain, .. } = &self.runners[key].registration;
         let all = self.services.get(service).into_iter().flatten().copied();
@@ -331,9 +338,9 @@
             near.registration.domain == *domain && near.is_ready()
         });
         let near: Vec<RunnerKey> = near.collect();
-        let failed = near.iter().filter(|k| self.runners[**k].health.failed_recently(now));
+        let failed = near.iter().filter(|k| self.runners[**k].health.has_failed_recently(now));
         if health::is_domain_suspect(failed.count(), near.len()) {
-            near.iter().for_each(|k| self.runners[*k].health.suspect(now));
+            near.iter().for_each(|k| self.runners[*k].health.mark_suspect(now));
         }
     }
 }
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -8,7 +8,7 @@
 use {
     self::prefill_rate::PrefillRate,
     crate::{
-        body::Answer,
+        body::ResponseBody,
         budget::{Allowance, Budgets},
         call::Call,
         catalog::{Engine, Kind},
@@ -19,7 +19,7 @@
         network::Network,
         refusal::Refusal,
         rollouts::{
-            Trial,
+            RolloutSample,
             exposure::{Bound, Exposure},
         },
         runner_client::RunnerClient,
@@ -39,49 +39,50 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// Shortest `Retry-After` of a rejected request.
-const RETRY_LEAST: Duration = Duration::from_millis(150);
-/// Range of the random part of `Retry-After`, so that rejected callers spread out.
-const RETRY_SPREAD: Duration = Duration::from_millis(450);
+/// Minimum `Retry-After` of a rejected request.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// Range of the random part of `Retry-After`, so that rejected callers do not retry at the same
+/// time.
+const RETRY_AFTER_JITTER: Duration = Duration::from_millis(450);
 
-/// Shared state of all flows. Clones share it.
+/// State shared by all flows and by all clones.
 #[derive(Clone)]
 pub struct Traffic<D, N> {
     /// Client for the runners.
     pub client: RunnerClient<D, N>,
-    /// View published by the control thread.
+    /// Latest view published by the control thread.
     pub published: Published,
-    /// Requests and streams in flight.
-    pub open: Rc<Cell<usize>>,
-    /// Metrics.
+    /// Number of requests and streams in flight.
+    pub in_flight: Rc<Cell<usize>>,
+    /// Metrics of this node.
     pub metrics: Metrics,
-    /// Outcomes of requests during a rollout, for the control thread.
-    pub trials: Option<mpsc::UnboundedSender<Trial>>,
-    /// Retry budgets.
+    /// Sends outcomes of requests during a rollout to the control thread.
+    pub samples: Option<mpsc::UnboundedSender<RolloutSample>>,
+    /// Retry budgets by service.
     pub budgets: Budgets,
-    given: Rc<RefCell<FxHashMap<CompactString, Exposure>>>,
+    exposures: Rc<RefCell<FxHashMap<CompactString, Exposure>>>,
     prefill_rates: Rc<RefCell<FxHashMap<CompactString, PrefillRate>>>,
     bound: Bound,
 }
 
-/// Counts a request as in flight until dropped.
-pub struct Open(Rc<Cell<usize>>);
+/// Guard that counts a request as in flight until it is dropped.
+pub struct InFlightGuard(Rc<Cell<usize>>);
 
-impl Open {
-    fn new(count: &Rc<Cell<usize>>) -> Open {
+impl InFlightGuard {
+    fn new(count: &Rc<Cell<usize>>) -> InFlightGuard {
         count.set(count.get() + 1);
-        Open(count.clone())
+        InFlightGuard(count.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl<D: Dialect, N: Network> Traffic<D, N> {
-    /// Creates the state with an empty fleet.
+    /// Creates the state without any runners.
     pub fn new(
         dialect: D,
         network: N,
@@ -99,56 +100,56 @@
                 published: published.clone(),
             },
             published,
-            open: Rc::default(),
+            in_flight: Rc::default(),
             metrics,
-            trials: None,
+            samples: None,
             budgets: Budgets::new(allowance),
-            given: Rc::default(),
+            exposures: Rc::default(),
             prefill_rates: Rc::default(),
             bound,
         }
     }
 
-    /// Replaces the metrics.
+    /// Replaces the metrics of the flows and of the runner client.
     pub fn set_metrics(&mut self, metrics: &Metrics) {
         self.client.metrics = metrics.clone();
         self.metrics = metrics.clone();
     }
 
-    /// Runs a request to its response.
-    pub async fn serve(&self, mut call: Call) -> Response<Answer> {
+    /// Executes a request with the flow of its route kind and returns the response.
+    pub async fn serve(&self, mut call: Call) -> Response<ResponseBody> {
         call.version = self.choose_version(&call.service);
-        self.budgets.request(&call.service);
+        self.budgets.count_request(&call.service);
         let (kind, start, id) = (call.route.kind, call.start, call.head.id.clone());
         let response = match kind {
             Kind::Idempotent => idempotent::serve(self, &call).await,
             Kind::Once => at_most_once::serve(self, &call).await,
             Kind::Resumable | Kind::StreamOnce => generation::serve(self, call).await,
         };
-        let outcome = outcome(&response, &self.client.dialect);
+        let outcome = classify(&response, &self.client.dialect);
         if outcome == Outcome::Failed {
             let waited = start.elapsed().as_millis() as u64;
             log::info!(request = id.as_str(), status = response.status().as_u16(), waited;
                 "{FAILURE_PASSED}");
         }
         let latency = (outcome == Outcome::Served).then(|| start.elapsed());
-        self.metrics.ended(kind, outcome, latency);
+        self.metrics.count_request(kind, outcome, latency);
         response
     }
 
-    /// Counts a request as in flight.
-    pub fn opened(&self) -> Open {
-        Open::new(&self.open)
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub fn track_in_flight(&self) -> InFlightGuard {
+        InFlightGuard::new(&self.in_flight)
     }
 
-    /// Selects a runner.
-    fn choose(&self, call: &Call, except: &[RunnerKey]) -> Option<Endpoint> {
+    /// Selects a runner that is not in `except`, according to the rollout of the service.
+    fn choose_runner(&self, call: &Call, except: &[RunnerKey]) -> Option<Endpoint> {
         let view = self.published.load();
-        let version = version(&view, call);
+        let version = version_constraint(&view, call);
         let fleet = &self.client.fleet;
         let endpoint = fleet.choose(&Criteria { version, ..self.criteria(call, except) });
         match (endpoint, version) {
-            // Falls back to the old version when no runner of the new one is left.
+            // Fall back to the old version if no runner of the new one is available.
             (None, Some(Version::Only(to))) => {
                 let version = Some(Version::Except(to));
                 fleet.choose(&Criteria { version, ..self.criteria(call, except) })
@@ -161,71 +162,80 @@
     fn choose_version(&self, service: &CompactString) -> Option<Choice> {
         let view = self.published.load();
         let split = view.splits.get(service)?;
-        let mut given = self.given.borrow_mut();
-        let given = given.entry(service.clone()).or_default();
-        Some(given.choose(split, &self.bound, view.nodes.len(), rand::rng().random()))
+        let mut exposures = self.exposures.borrow_mut();
+        let exposure = exposures.entry(service.clone()).or_default();
+        Some(exposure.choose(split, &self.bound, view.nodes.len(), rand::rng().random()))
     }
 
-    /// Reports the outcome of a first attempt during a rollout.
-    fn record_trial(&self, call: &Call, runner: RunnerKey, ended: RunEnd) {
-        let (Some(choice), Some(trials)) = (call.version, &self.trials) else { return };
-        let trial = Trial {
+    /// Reports the outcome of a first attempt to the control thread during a rollout.
+    fn report_sample(&self, call: &Call, runner: RunnerKey, attempt: AttemptSummary) {
+        let (Some(choice), Some(samples)) = (call.version, &self.samples) else { return };
+        let sample = RolloutSample {
             service: call.service.clone(),
             route: call.route.name.clone(),
             choice,
-            ok: ended.ok,
-            first: ended.first,
-            pace: ended.pace,
+            ok: attempt.ok,
+            first: attempt.first,
+            pace: attempt.pace,
             runner: runner.data().as_ffi(),
         };
-        // The receiver lives as long as the process.
-        _ = trials.send(trial);
+        // The receiver exists as long as the process.
+        _ = samples.send(sample);
     }
 
-    /// Selection criteria for a request.
+    /// Returns the selection criteria for a request.
     fn criteria<'a>(&self, call: &'a Call, except: &'a [RunnerKey]) -> Criteria<'a> {
         let (service, prompt) = (call.service.as_str(), call.head.prompt);
         let memory = self.engine(call).map_or(0, |engine| engine.memory);
-        Criteria { service, except, prompt, memory, away: None, version: None, stable: false }
+        Criteria {
+            service,
+            except,
+            prompt,
+            memory,
+            avoid_domain: None,
+            version: None,
+            stable: false,
+        }
     }
 
-    /// Engine parameters of the request's service.
+    /// Returns the engine parameters of the request's service; `None` for a plain service.
     fn engine(&self, call: &Call) -> Option<Engine> {
         let view = self.published.load();
         view.catalog.as_ref()?.services.get(&call.service)?.engine.clone()
     }
 
-    /// Takes one retry from the retry budget.
-    fn may_retry(&self, service: &str) -> bool {
+    /// Takes one retry from the service's budget; returns false if it is exhausted.
+    fn take_retry(&self, service: &str) -> bool {
         let nodes = self.published.load().nodes.len();
-        self.budgets.take(service, nodes)
+        self.budgets.try_take(service, nodes)
     }
 
-    /// Accesses the prefill rate of a service.
+    /// Calls `work` with the prefill rate of a service.
     fn prefill_rate<T>(&self, service: &str, work: impl FnOnce(&mut PrefillRate) -> T) -> T {
         work(self.prefill_rates.borrow_mut().entry(service.into()).or_default())
     }
 
-    /// A rejection with a randomized `Retry-After`, not before a runner wants a request.
-    fn not_run(&self, call: &Call) -> Refusal {
-        let wait = self.client.fleet.wait(&call.service).unwrap_or_default();
-        let least = wait.max(RETRY_LEAST);
-        Refusal::NotRun { retry: rand::rng().random_range(least..least + RETRY_SPREAD) }
+    /// Returns a rejection whose `Retry-After` is random, but not shorter than the time until a
+    /// runner accepts requests.
+    fn not_run_rejection(&self, call: &Call) -> Refusal {
+        let wait = self.client.fleet.time_until_ready(&call.service).unwrap_or_default();
+        let least = wait.max(MIN_RETRY_AFTER);
+        Refusal::NotRun { retry: rand::rng().random_range(least..least + RETRY_AFTER_JITTER) }
     }
 
-    fn refuse(&self, call: &Call, refusal: Refusal) -> Response<Answer> {
+    fn reject(&self, call: &Call, refusal: Refusal) -> Response<ResponseBody> {
         let waited = call.start.elapsed().as_millis() as u64;
-        self.metrics.refused(refusal);
+        self.metrics.count_refusal(refusal);
         log::warn!(request = call.head.id.as_str(), route = call.route.name.as_str(), waited,
-            ready = self.client.fleet.ready(&call.service); "{REFUSED}{refusal:?}");
-        refusal.answer(&self.client.dialect, Some(&call.head.id))
+            ready = self.client.fleet.ready_count(&call.service); "{REFUSED}{refusal:?}");
+        refusal.into_response(&self.client.dialect, Some(&call.head.id))
     }
 }
 
-/// Outcome of a first attempt.
+/// Outcome of the first attempt of a request.
 #[derive(Clone, Copy, Debug, Default)]
-struct RunEnd {
-    /// Whether it succeeded.
+struct AttemptSummary {
+    /// Whether the attempt succeeded.
     ok: bool,
     /// Time to the first event or the response.
     first: Option<Duration>,
@@ -233,8 +243,8 @@
     pace: Option<Duration>,
 }
 
-/// Classifies a response by its head.
-fn outcome<D: Dialect>(response: &Response<Answer>, dialect: &D) -> Outcome {
+/// Classifies a response by its status and its signature.
+fn classify<D: Dialect>(response: &Response<ResponseBody>, dialect: &D) -> Outcome {
     match response.status() {
         status if status.is_success() => Outcome::Served,
         _ if dialect.is_signed(response.headers()) => Outcome::Failed,
@@ -242,25 +252,25 @@
     }
 }
 
-/// Outcome of a call that ended just now.
-fn ended(call: &Call, ok: bool) -> RunEnd {
-    RunEnd { ok, first: ok.then(|| call.start.elapsed()), pace: None }
+/// Returns the outcome of an attempt without events that has just ended.
+fn summarize(call: &Call, ok: bool) -> AttemptSummary {
+    AttemptSummary { ok, first: ok.then(|| call.start.elapsed()), pace: None }
 }
 
-/// Version constraint of a request. A rolled-back version gets nothing, even if the request was
-/// assigned to it earlier.
-fn version<'a>(view: &'a View, call: &Call) -> Option<Version<'a>> {
+/// Returns the version constraint of a request. A version that was rolled back gets no request,
+/// even if the request was assigned to it before.
+fn version_constraint<'a>(view: &'a View, call: &Call) -> Option<Version<'a>> {
     let split = view.splits.get(&call.service)?;
     let new = call.version.is_some_and(|choice| choice.new);
     match split.rule {
-        Rule::New => Some(Version::Only(&split.to)),
-        Rule::Trial if new => Some(Version::Only(&split.to)),
-        Rule::Trial | Rule::Old => Some(Version::Except(&split.to)),
+        Rule::OnlyNew => Some(Version::Only(&split.to)),
+        Rule::Canary if new => Some(Version::Only(&split.to)),
+        Rule::Canary | Rule::OnlyOld => Some(Version::Except(&split.to)),
     }
 }
 
-/// Send options of a plain attempt after `earlier` ones.
-fn options(call: &Call, endpoint: &Endpoint, earlier: usize) -> SendOptions {
+/// Returns the options of a send without replicas, after `earlier` sends of the same request.
+fn send_options(call: &Call, endpoint: &Endpoint, earlier: usize) -> SendOptions {
     let now = Instant::now();
     let left = call.caller_deadline().map(|end| end.saturating_duration_since(now));
     SendOptions {
--- a/crates/relay/src/rollouts.rs
+++ b/crates/relay/src/rollouts.rs
@@ -1,9 +1,10 @@
-//! Rollouts: an operator orders a service to move to another version by a deadline.
+//! Rollouts: an operator orders that a service moves to another version by a deadline.
 //!
-//! A state machine per node and service. During the rollout the new version gets a bounded share of
-//! the requests ([`exposure`]); nodes pool their evidence and compare both versions with a
-//! sequential test. Any node may reduce the share on its own. Only completion needs the store,
-//! because the old runners stop then: the first final status written there is authoritative.
+//! Each node has a state machine per service. During the rollout the new version gets a bounded
+//! share of the requests ([`exposure`]). The nodes exchange their results and compare both versions
+//! with a sequential test. Any node may stop sending requests to the new version on its own. Only
+//! completion needs the store, because the old runners stop then: the first final status written to
+//! the store is authoritative.
 
 pub mod exposure;
 mod track;
@@ -11,7 +12,7 @@
 pub use self::track::{Action, Phase};
 
 use {
-    self::track::Track,
+    self::track::Rollout,
     crate::view::Splits,
     bilberryfront_decide::{
         id::Incarnation,
@@ -33,9 +34,9 @@
     pub time: Duration,
 }
 
-/// Rollout status as stored.
+/// Status of a rollout as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct RolloutStatus {
     /// Service.
     pub service: CompactString,
     /// Target version.
@@ -46,7 +47,7 @@
 
 /// Outcome of a request during a rollout.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trial {
+pub struct RolloutSample {
     /// Service.
     pub service: CompactString,
     /// Route.
@@ -59,91 +60,93 @@
     pub first: Option<Duration>,
     /// Mean time between events.
     pub pace: Option<Duration>,
-    /// Distinguishes runners.
+    /// Number that identifies the runner on this node.
     pub runner: u64,
 }
 
 /// All rollouts.
 pub struct Rollouts {
     me: Incarnation,
-    tracks: BTreeMap<CompactString, Track>,
-    records: BTreeMap<CompactString, (u64, Record)>,
+    rollouts: BTreeMap<CompactString, Rollout>,
+    statuses: BTreeMap<CompactString, (u64, RolloutStatus)>,
 }
 
 impl Rollouts {
-    /// No rollouts.
+    /// Creates the state without any rollouts.
     pub fn new(me: Incarnation) -> Rollouts {
-        Rollouts { me, tracks: BTreeMap::new(), records: BTreeMap::new() }
+        Rollouts { me, rollouts: BTreeMap::new(), statuses: BTreeMap::new() }
     }
 
     /// Applies an order with its store revision.
-    pub fn order(&mut self, now: Instant, revision: u64, order: RolloutOrder) {
-        let known = self.tracks.get(&order.service).is_some_and(|t| t.revision() >= revision);
+    pub fn apply_order(&mut self, now: Instant, revision: u64, order: RolloutOrder) {
+        let known = self.rollouts.get(&order.service).is_some_and(|t| t.revision() >= revision);
         if known {
             return;
         }
         log::info!(service = order.service.as_str(), to = order.to.as_str(), revision,
             time = order.time.as_millis() as u64; "rollout ordered");
         let service = order.service.clone();
-        let mut track = Track::new(now, self.me, revision, order);
-        if let Some((written, record)) = self.records.get(&service) {
-            track.record(*written, record);
+        let mut rollout = Rollout::new(now, self.me, revision, order);
+        if let Some((written, status)) = self.statuses.get(&service) {
+            rollout.apply_status(*written, status);
         }
-        self.tracks.insert(service, track);
+        self.rollouts.insert(service, rollout);
     }
 
     /// Applies a stored status with its store revision.
-    pub fn record(&mut self, revision: u64, record: Record) {
-        if let Some(track) = self.tracks.get_mut(&record.service) {
-            track.record(revision, &record);
+    pub fn apply_status(&mut self, revision: u64, status: RolloutStatus) {
+        if let Some(rollout) = self.rollouts.get_mut(&status.service) {
+            rollout.apply_status(revision, &status);
         }
-        self.records.insert(record.service.clone(), (revision, record));
+        self.statuses.insert(status.service.clone(), (revision, status));
     }
 
-    /// Records an outcome.
-    pub fn observe(&mut self, trial: &Trial) {
-        if let Some(track) = self.tracks.get_mut(&trial.service) {
-            track.observe(&Sample {
-                choice: trial.choice,
-                route: &trial.route,
-                ok: trial.ok,
-                first: trial.first,
-                pace: trial.pace,
-                runner: trial.runner,
+    /// Records the outcome of a request.
+    pub fn observe(&mut self, sample: &RolloutSample) {
+        if let Some(rollout) = self.rollouts.get_mut(&sample.service) {
+            rollout.observe(&Sample {
+                choice: sample.choice,
+                route: &sample.route,
+                ok: sample.ok,
+                first: sample.first,
+                pace: sample.pace,
+                runner: sample.runner,
                 account: 0,
             });
         }
     }
 
-    /// Applies a peer's message.
-    pub fn handle_peer_update(&mut self, now: Instant, news: &MoveUpdate) {
-        if let Some(track) = self.tracks.get_mut(&news.entry) {
-            track.handle_peer_update(now, news);
+    /// Applies a message from a peer.
+    pub fn handle_peer_update(&mut self, now: Instant, update: &MoveUpdate) {
+        if let Some(rollout) = self.rollouts.get_mut(&update.entry) {
+            rollout.handle_peer_update(now, update);
         }
     }
 
     /// Sets the number of ready runners of the new version.
-    pub fn runners(&mut self, service: &str, new: usize) {
-        if let Some(track) = self.tracks.get_mut(service) {
-            track.runners(new);
+    pub fn set_ready_runners(&mut self, service: &str, new: usize) {
+        if let Some(rollout) = self.rollouts.get_mut(service) {
+            rollout.set_ready_runners(new);
         }
     }
 
-    /// Target versions by service.
+    /// Returns the services with a rollout and their target versions.
     pub fn pending_versions(&self) -> Vec<(CompactString, CompactString)> {
-        let each = self.tracks.iter().map(|(service, track)| (service.clone(), track.to().clone()));
+        let each =
+            self.rollouts.iter().map(|(service, rollout)| (service.clone(), rollout.to().clone()));
         each.collect()
     }
 
-    /// Advances time. `rank` is this node's position among `nodes`: the first one writes, the next
-    /// ones only if it has not.
+    /// Performs due work. `rank` is this node's position among `nodes` nodes: the first one writes
+    /// the status, the next ones only if it has not.
     pub fn tick(&mut self, now: Instant, rank: usize, nodes: usize) -> Vec<Action> {
-        self.tracks.values_mut().flat_map(|track| track.tick(now, rank, nodes)).collect()
+        self.rollouts.values_mut().flat_map(|rollout| rollout.tick(now, rank, nodes)).collect()
     }
 
-    /// Current request splits.
+    /// Returns the current splits of requests by service.
     pub fn splits(&self) -> Splits {
-        let each = self.tracks.iter().map(|(service, track)| (service.clone(), track.split()));
+        let each =
+            self.rollouts.iter().map(|(service, rollout)| (service.clone(), rollout.split()));
         Arc::new(each.collect())
     }
 }
