--- a/examples/intents.rs
+++ b/examples/intents.rs
@@ -149,7 +149,7 @@
         digest: digest("POST", "/transfers", b"{}"),
     };
     let asked = Instant::now();
-    let Claim::Mine(mut permit) = intents.claim(call).await else { return false };
+    let Claim::Granted(mut permit) = intents.claim(call).await else { return false };
     let micros = asked.elapsed().as_micros() as u64;
     claims.lock().expect("no call panics").record(micros).expect("the histogram grows");
     if !permit.begin() {
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -59,7 +59,7 @@
 /// What became of a claim.
 pub enum Claim {
     /// This request may send the call, once.
-    Mine(Permit),
+    Granted(Permit),
     /// The call's recorded outcome, never [`Outcome::NotRun`].
     Outcome(Outcome),
     /// This claim has the call and has recorded no outcome.
@@ -68,9 +68,9 @@
     Mismatch,
     /// Nothing of this request was or will be run, and this node never sent another with its key.
     /// While the table is down, one that an other node sent can't be known of.
-    Down(PlatformError),
+    NotRun(PlatformError),
     /// Nothing of this request was or will be run, but another with its key may have been.
-    Unclear,
+    Unknown,
 }
 
 /// Claims calls and records their outcomes. Cheap to clone.
@@ -141,7 +141,7 @@
                 Claim::Busy(holder) => {
                     unix_now() <= holder.created.saturating_add(timeout.as_secs())
                 }
-                Claim::Unclear => true,
+                Claim::Unknown => true,
                 _ => false,
             };
             if !open || Instant::now() + pause > deadline {
@@ -151,7 +151,7 @@
     }
 
     /// What is known of a call that this request won't claim, for instance as no runner can take it.
-    /// Costs a read and no write; never grants a permit. [`Claim::Down`] says that nobody ran it.
+    /// Costs a read and no write; never grants a permit. [`Claim::NotRun`] says that nobody ran it.
     ///
     /// Without it a retry of a call that ran would be refused as "not run" when its runner has died
     /// since, and the caller would post it under a new key.
@@ -181,7 +181,7 @@
     async fn enter(&self, call: Call, first: Event) -> Claim {
         let inner = self.inner.clone();
         let claim = tokio::spawn(async move { inner.enter(&call, first).await });
-        claim.await.unwrap_or(Claim::Unclear)
+        claim.await.unwrap_or(Claim::Unknown)
     }
 }
 
@@ -235,10 +235,10 @@
             Action::Permit => {
                 let row = held.life.row().expect("a permit comes with a row");
                 self.recent().note(&held.row, row.intent.holder());
-                Claim::Mine(Permit::new(held, self.shelf.clone(), self.orphans.clone()))
+                Claim::Granted(Permit::new(held, self.shelf.clone(), self.orphans.clone()))
             }
             Action::Say(verdict) => self.say(verdict, &held.row, why),
-            _ => Claim::Unclear,
+            _ => Claim::Unknown,
         }
     }
 
@@ -247,11 +247,11 @@
             Verdict::Outcome(outcome) => Claim::Outcome(outcome),
             Verdict::Busy(holder) => Claim::Busy(holder),
             Verdict::Mismatch => Claim::Mismatch,
-            Verdict::Unclear => Claim::Unclear,
+            Verdict::Unclear => Claim::Unknown,
             Verdict::NotRun => {
                 let why = why.unwrap_or(PlatformError::Down("the call is not in the table".into()));
                 let holder = self.recent().holder(row);
-                holder.map_or(Claim::Down(why), Claim::Busy)
+                holder.map_or(Claim::NotRun(why), Claim::Busy)
             }
         }
     }
--- a/src/traffic/services/once.rs
+++ b/src/traffic/services/once.rs
@@ -67,7 +67,7 @@
             Err(problem) => return refused(services, &call, problem).await,
         };
         let (lease, permit) = match services.intents.claim(call.clone()).await {
-            Claim::Mine(permit) => (lease, permit),
+            Claim::Granted(permit) => (lease, permit),
             Claim::Busy(_) => {
                 drop(lease);
                 match wait(services, job, &call, &mut chooser).await {
@@ -95,7 +95,7 @@
     problem: Problem,
 ) -> Result<Reply> {
     match services.intents.peek(call).await {
-        Claim::Down(_) => Err(problem),
+        Claim::NotRun(_) => Err(problem),
         known => settled(known),
     }
 }
@@ -128,7 +128,7 @@
 ) -> std::result::Result<(Lease, Permit), Result<Reply>> {
     let timeout = Duration::from_millis(job.limits.call_ms.into());
     let permit = match services.intents.wait(call, timeout).await {
-        Claim::Mine(permit) => permit,
+        Claim::Granted(permit) => permit,
         known => return Err(settled(known)),
     };
     match grant(services, job, None, chooser).await {
@@ -198,7 +198,7 @@
             let detail = "this Idempotency-Key came with another method, path or body before";
             Err(not_run(Kind::KeyMismatch, detail))
         }
-        Claim::Down(why) => {
+        Claim::NotRun(why) => {
             let detail = format!("send it again with the same key: {why}");
             Err(problem::again(not_run(Kind::StoreDown, detail), RETRY_AFTER))
         }
@@ -206,11 +206,11 @@
             let problem = unknown("the same call is under way; ask again with the same key");
             Err(problem::again(problem, RETRY_AFTER))
         }
-        Claim::Unclear => {
+        Claim::Unknown => {
             let problem = unknown("the table gave no answer; ask again with the same key");
             Err(problem::again(problem, RETRY_AFTER))
         }
-        Claim::Mine(_) => unreachable!("a claim that is ours is sent"),
+        Claim::Granted(_) => unreachable!("a claim that is ours is sent"),
     }
 }
 
--- a/tests/once_intents.rs
+++ b/tests/once_intents.rs
@@ -46,7 +46,7 @@
 
 fn mine(claim: Claim) -> Permit {
     match claim {
-        Claim::Mine(permit) => permit,
+        Claim::Granted(permit) => permit,
         _ => panic!("the claim must be granted"),
     }
 }
@@ -117,9 +117,9 @@
     let table = FakeTable::new(LATENCY);
     let a = node(&table, 1);
     let claims = join_all((0..100).map(|_| a.claim(call("k")))).await;
-    let permits = claims.iter().filter(|c| matches!(c, Claim::Mine(_))).count();
+    let permits = claims.iter().filter(|c| matches!(c, Claim::Granted(_))).count();
     assert_eq!(permits, 1);
-    assert!(claims.iter().all(|c| matches!(c, Claim::Mine(_) | Claim::Busy(_))));
+    assert!(claims.iter().all(|c| matches!(c, Claim::Granted(_) | Claim::Busy(_))));
 }
 
 /// The insert takes effect but its reply is lost. The read-back shows the row to be ours.
@@ -138,7 +138,7 @@
     let table = FakeTable::new(LATENCY);
     table.state().commits.push_back(Fault::LostBefore);
     let a = node(&table, 1);
-    assert!(matches!(a.claim(call("k")).await, Claim::Down(PlatformError::Lost(_))));
+    assert!(matches!(a.claim(call("k")).await, Claim::NotRun(PlatformError::Lost(_))));
     mine(a.claim(call("k")).await);
 }
 
@@ -150,7 +150,7 @@
     table.state().commits.push_back(Fault::LostAfter);
     table.state().reads.push_back(Fault::LostAfter);
     let (a, b) = (node(&table, 1), node(&table, 2));
-    assert!(matches!(a.claim(call("k")).await, Claim::Unclear));
+    assert!(matches!(a.claim(call("k")).await, Claim::Unknown));
     assert!(matches!(b.claim(call("k")).await, Claim::Busy(_)));
     let permit = mine(a.claim(call("k")).await);
     assert!(matches!(a.claim(call("k")).await, Claim::Busy(_)));
@@ -202,9 +202,9 @@
     let table = FakeTable::new(LATENCY);
     table.state().always = Some(Fault::Hang);
     let a = node(&table, 1);
-    assert!(matches!(a.claim(call("first")).await, Claim::Unclear));
+    assert!(matches!(a.claim(call("first")).await, Claim::Unknown));
     let asked = Instant::now();
-    assert!(matches!(a.claim(call("second")).await, Claim::Down(PlatformError::Down(_))));
+    assert!(matches!(a.claim(call("second")).await, Claim::NotRun(PlatformError::Down(_))));
     assert_eq!(asked.elapsed(), Duration::ZERO, "on the paused clock, at once is no time at all");
     table.state().always = None;
     tokio::time::sleep(Limits::default().probe).await;
@@ -223,7 +223,7 @@
     let asked = Instant::now();
     let keys: Vec<String> = (0..50).map(|n| n.to_string()).collect();
     let claims = join_all(keys.iter().map(|k| a.claim(call(k)))).await;
-    let down = claims.iter().filter(|c| matches!(c, Claim::Down(PlatformError::Down(_)))).count();
+    let down = claims.iter().filter(|c| matches!(c, Claim::NotRun(PlatformError::Down(_)))).count();
     assert_eq!(down, 48);
     assert!(asked.elapsed() <= limits.slow * 2 + limits.gap, "one commit and one read");
 }
@@ -239,8 +239,8 @@
     a.settle(mine(a.claim(call("unsent")).await), Outcome::NotRun).await;
     table.state().always = Some(Fault::Down);
     assert!(matches!(a.claim(call("sent")).await, Claim::Busy(_)));
-    assert!(matches!(a.claim(call("unsent")).await, Claim::Down(_)));
-    assert!(matches!(a.claim(call("new")).await, Claim::Down(_)));
+    assert!(matches!(a.claim(call("unsent")).await, Claim::NotRun(_)));
+    assert!(matches!(a.claim(call("new")).await, Claim::NotRun(_)));
 }
 
 /// More calls come than may wait: the surplus hears "not run" at once.
@@ -251,7 +251,7 @@
     let a = Intents::start(table.clone(), Incarnation(1), limits);
     let keys: Vec<String> = (0..30).map(|n| n.to_string()).collect();
     let claims = join_all(keys.iter().map(|k| a.claim(call(k)))).await;
-    let down = claims.iter().filter(|c| matches!(c, Claim::Down(_))).count();
+    let down = claims.iter().filter(|c| matches!(c, Claim::NotRun(_))).count();
     assert_eq!((down, a.stats().refused), (20, 20));
 }
 
@@ -269,7 +269,7 @@
     }
     tokio::time::advance(Duration::from_secs(3600)).await;
     let claim = claim.await.expect("a claim doesn't panic");
-    assert!(matches!(claim, Claim::Down(PlatformError::Down(_))));
+    assert!(matches!(claim, Claim::NotRun(PlatformError::Down(_))));
     assert!(table.state().rows.get(&call("second").row()).is_none());
 }
 
@@ -286,7 +286,7 @@
         let a = a.clone();
         async move {
             let claim = a.claim(call(&k)).await;
-            matches!(claim, Claim::Down(_)).then(|| asked.elapsed())
+            matches!(claim, Claim::NotRun(_)).then(|| asked.elapsed())
         }
     };
     let refused: Vec<Duration> =
--- a/tests/once_peek.rs
+++ b/tests/once_peek.rs
@@ -34,8 +34,8 @@
     let node =
         |incarnation| Intents::start(table.clone(), Incarnation(incarnation), Limits::default());
     let (a, b) = (node(1), node(2));
-    assert!(matches!(b.peek(&call(b"1")).await, Claim::Down(_)));
-    let Claim::Mine(mut permit) = a.claim(call(b"1")).await else { panic!("the first is granted") };
+    assert!(matches!(b.peek(&call(b"1")).await, Claim::NotRun(_)));
+    let Claim::Granted(mut permit) = a.claim(call(b"1")).await else { panic!("the first is granted") };
     assert!(permit.begin());
     assert!(matches!(b.peek(&call(b"1")).await, Claim::Busy(_)));
     a.settle(permit, receipt()).await;
@@ -52,6 +52,6 @@
     let a = Intents::start(table.clone(), Incarnation(1), Limits::default());
     a.claim(call(b"1")).await;
     let asked = Instant::now();
-    assert!(matches!(a.peek(&call(b"1")).await, Claim::Down(_)));
+    assert!(matches!(a.peek(&call(b"1")).await, Claim::NotRun(_)));
     assert_eq!(asked.elapsed(), Duration::ZERO);
 }
