--- a/examples/intents.rs
+++ b/examples/intents.rs
@@ -58,7 +58,7 @@
     println!("\n{DESIGN_RATE} calls/s over n nodes that write");
     head();
     for nodes in [6, 25, 50, 100, 1100] {
-        let limits = Limits { gap: share(nodes), timeout: LENGTH, ..Limits::default() };
+        let limits = Limits { interval: share(nodes), timeout: LENGTH, ..Limits::default() };
         let rate = DESIGN_RATE / nodes;
         line(&format!("{nodes} writers"), rate, &run(rate, limits, Duration::ZERO));
     }
@@ -66,7 +66,7 @@
 
 fn compare(row_cost: Duration) {
     head();
-    let batched = Limits { gap: share(6), ..Limits::default() };
+    let batched = Limits { interval: share(6), ..Limits::default() };
     let single = Limits { rows: 1, ..batched };
     for rate in RATES {
         line("batched", rate, &run(rate, batched, row_cost));
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -165,7 +165,7 @@
         let Some(held) = permit.release() else { return false };
         let inner = self.inner.clone();
         let record = tokio::spawn(async move { inner.record(held, outcome).await });
-        matches!(timeout(self.inner.limits.slow, record).await, Ok(Ok(true)))
+        matches!(timeout(self.inner.limits.reply_timeout, record).await, Ok(Ok(true)))
     }
 
     /// Counts since the start.
@@ -296,7 +296,7 @@
 
     async fn read(&self, row: &CompactString) -> Result<Option<Found>> {
         let read = Read { keys: vec![row.clone()] };
-        let rows = match timeout(self.limits.slow, self.table.read(&read)).await {
+        let rows = match timeout(self.limits.reply_timeout, self.table.read(&read)).await {
             Ok(rows) => rows?.rows,
             Err(_) => return Err(PlatformError::Lost("the table is slow".into())),
         };
--- a/src/intents/batch.rs
+++ b/src/intents/batch.rs
@@ -31,9 +31,9 @@
     /// Most bytes of keys and values in a commit; one larger row goes alone.
     pub bytes: usize,
     /// Most commits under way.
-    pub flights: usize,
+    pub in_flight: usize,
     /// Shortest time between the starts of two commits: one over this node's share of writes.
-    pub gap: Duration,
+    pub interval: Duration,
     /// Most writes that wait.
     pub queue: usize,
     /// Age at which a write that still waits for its commit is refused. Its caller wouldn't wait
@@ -41,7 +41,7 @@
     /// been swept meanwhile, so that the revisions they expect belong to other rows.
     pub timeout: Duration,
     /// Longest wait for a commit or a read; its reply then counts as lost.
-    pub slow: Duration,
+    pub reply_timeout: Duration,
     /// Time between two probes while the table fails.
     pub probe: Duration,
 }
@@ -52,11 +52,11 @@
         Limits {
             rows: 256,
             bytes: 512 << 10,
-            flights: 2,
-            gap: Duration::from_millis(20),
+            in_flight: 2,
+            interval: Duration::from_millis(20),
             queue: 4096,
             timeout: Duration::from_secs(2),
-            slow: Duration::from_millis(500),
+            reply_timeout: Duration::from_millis(500),
             probe: Duration::from_secs(1),
         }
     }
@@ -66,7 +66,7 @@
     /// Writes that can wait and still go in time. One more is refused at once, rather than after a
     /// wait in vain.
     fn room(&self) -> usize {
-        let gap = self.gap.as_secs_f64().max(f64::MIN_POSITIVE);
+        let gap = self.interval.as_secs_f64().max(f64::MIN_POSITIVE);
         let commits = (self.timeout.as_secs_f64() / gap) as usize;
         self.queue.min(commits.max(1).saturating_mul(self.rows))
     }
@@ -212,7 +212,7 @@
 struct Landed {
     items: Vec<Item>,
     result: Result<Committed>,
-    /// No reply within [`Limits::slow`].
+    /// No reply within [`Limits::reply_timeout`].
     hung: bool,
 }
 
@@ -227,7 +227,7 @@
 impl<T: Table> Committer<T> {
     async fn run(mut self) {
         loop {
-            let can_start = self.flights.len() < self.shared.limits.flights;
+            let can_start = self.flights.len() < self.shared.limits.in_flight;
             let due = can_start && !self.shared.is_idle();
             tokio::select! {
                 biased;
@@ -249,12 +249,12 @@
         if items.is_empty() {
             return;
         }
-        self.slot = Instant::now() + limits.gap;
+        self.slot = Instant::now() + limits.interval;
         let table = self.table.clone();
         self.flights.spawn(async move {
             let writes = items.iter().map(|i| i.write.clone()).collect();
             let commit = Commit { atomic: false, writes };
-            match timeout(limits.slow, table.commit(&commit)).await {
+            match timeout(limits.reply_timeout, table.commit(&commit)).await {
                 Ok(result) => Landed { items, result, hung: false },
                 Err(_) => {
                     let result = Err(PlatformError::Lost("the table is slow".into()));
--- a/tests/once_intents.rs
+++ b/tests/once_intents.rs
@@ -225,7 +225,7 @@
     let claims = join_all(keys.iter().map(|k| a.claim(call(k)))).await;
     let down = claims.iter().filter(|c| matches!(c, Claim::NotRun(PlatformError::Down(_)))).count();
     assert_eq!(down, 48);
-    assert!(asked.elapsed() <= limits.slow * 2 + limits.gap, "one commit and one read");
+    assert!(asked.elapsed() <= limits.reply_timeout * 2 + limits.interval, "one commit and one read");
 }
 
 /// A node has sent a call and the table goes down. The retry at this node must not hear "not run".
@@ -305,7 +305,7 @@
     table.state().always = Some(Fault::Down);
     let asked = Instant::now();
     assert!(!a.settle(permit, receipt()).await);
-    assert!(asked.elapsed() <= Limits::default().slow);
+    assert!(asked.elapsed() <= Limits::default().reply_timeout);
     tokio::time::sleep(Duration::from_secs(10)).await;
     table.state().always = None;
     // Two tries are at most three seconds apart.
