--- a/crates/scenarios/src/node.rs
+++ b/crates/scenarios/src/node.rs
@@ -157,7 +157,7 @@
     loop {
         let reached = wire.net.joins(&wire.name, PLATFORM);
         if let Some(list) = wire.fleet.lagged().filter(|_| reached) {
-            control.tell(Event::Instances(list.clone()));
+            control.send(Event::Instances(list.clone()));
             lists.send_replace(Some(list));
         }
         sleep(LIST_EVERY).await;
@@ -167,7 +167,7 @@
 async fn poll_loads(control: Control, wire: Wire) {
     loop {
         for (runner, instance) in &control.view().runners {
-            control.tell(match wire.load(&instance.url) {
+            control.send(match wire.load(&instance.url) {
                 Some(report) => Event::Load { runner: *runner, report },
                 None => Event::Silent { runner: *runner },
             });
--- a/crates/scenarios/src/operator.rs
+++ b/crates/scenarios/src/operator.rs
@@ -51,7 +51,7 @@
     node.spawn(async move {
         let heard = match store.apply(&catalogue, expect, &change).await {
             Ok(Outcome::Applied(revision)) => {
-                control.catalog(Numbered { revision, catalogue });
+                control.apply_catalog(Numbered { revision, catalogue });
                 (Told::Applied, revision)
             }
             Ok(Outcome::Conflict(revision)) => (Told::Conflict, revision),
--- a/src/control.rs
+++ b/src/control.rs
@@ -65,7 +65,7 @@
     }
 
     /// A handle that counts what is done through it.
-    pub fn counting(self, metrics: Metrics) -> Control {
+    pub fn with_metrics(self, metrics: Metrics) -> Control {
         Control { metrics, ..self }
     }
 
@@ -90,25 +90,25 @@
     }
 
     /// A ticket that was never used before in this node's life.
-    pub fn ticket(&self) -> Ticket {
+    pub fn next_ticket(&self) -> Ticket {
         Ticket(self.tickets.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Tells the core what happened.
-    pub fn tell(&self, event: Event) {
+    pub fn send(&self, event: Event) {
         // The receiver goes away only when the process ends.
         _ = self.sender.send(Message::Event(event));
     }
 
     /// Takes a catalogue, unless it has as new a one.
-    pub fn catalog(&self, numbered: Numbered) {
+    pub fn apply_catalog(&self, numbered: Numbered) {
         let Numbered { revision, catalogue } = numbered;
-        self.tell(Event::Catalog { revision, doc: Arc::new(catalogue) });
+        self.send(Event::Catalog { revision, doc: Arc::new(catalogue) });
     }
 
     /// Tells the core how a granted request ended.
     pub fn done(&self, done: Done) {
-        self.tell(Event::Done(done));
+        self.send(Event::Done(done));
     }
 
     /// Waits for a runner. When the returned future is dropped early, the core forgets the request.
@@ -140,7 +140,7 @@
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
         if self.armed {
-            self.control.tell(Event::Forget(self.ticket));
+            self.control.send(Event::Forget(self.ticket));
         }
     }
 }
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -138,7 +138,7 @@
         self.members.set_revision(view.catalog.revision, out);
         self.members.set_usage(usage(&view));
         self.members.tick(now, out);
-        self.control.tell(Event::Peers(self.peers(&view.catalog, now)));
+        self.control.send(Event::Peers(self.peers(&view.catalog, now)));
         self.publish();
     }
 
@@ -178,7 +178,7 @@
         let CatalogPush { revision, doc } = push;
         match serde_json::from_str::<CatalogDoc>(&doc) {
             Ok(catalogue) if catalogue.check().is_empty() => {
-                self.control.catalog(Numbered { revision, catalogue });
+                self.control.apply_catalog(Numbered { revision, catalogue });
             }
             _ => log::warn!("catalogue {revision} of a peer can't be read; waiting for the table"),
         }
--- a/src/control/moves/task.rs
+++ b/src/control/moves/task.rs
@@ -126,7 +126,7 @@
             }
             Answer::Adopted(numbered) => {
                 self.adopting = false;
-                numbered.into_iter().for_each(|n| self.control.catalog(n));
+                numbered.into_iter().for_each(|n| self.control.apply_catalog(n));
             }
         }
     }
--- a/src/control/pollers.rs
+++ b/src/control/pollers.rs
@@ -44,7 +44,7 @@
 ) {
     loop {
         if let Ok(list) = instances::read(&service).await {
-            control.tell(Event::Instances(list.clone()));
+            control.send(Event::Instances(list.clone()));
             lists.send_replace(Some(list));
         }
         sleep(jittered(LIST_EVERY)).await;
@@ -56,7 +56,7 @@
     loop {
         let known = control.view().catalog.revision;
         if let Some(numbered) = newer(&store, known).await {
-            control.catalog(numbered);
+            control.apply_catalog(numbered);
         }
         sleep(jittered(CATALOG_EVERY)).await;
     }
@@ -103,7 +103,7 @@
         Ok(report) => Event::Load { runner, report },
         Err(_) => Event::Silent { runner },
     };
-    control.tell(event);
+    control.send(event);
 }
 
 async fn newer<T: Table>(store: &Store<T>, known: Revision) -> Option<Numbered> {
--- a/src/node.rs
+++ b/src/node.rs
@@ -65,7 +65,7 @@
     let control = control.with_moves(moves);
     let parts = Parts {
         settings: settings.clone(),
-        control: control.counting(metrics.clone()),
+        control: control.with_metrics(metrics.clone()),
         published,
         leaving: Leaving::default(),
         metrics,
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -42,7 +42,7 @@
     }
 
     fn accepted(&self, numbered: Numbered) {
-        self.control.catalog(numbered);
+        self.control.apply_catalog(numbered);
     }
 }
 
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -68,7 +68,7 @@
     pub fn begun(&mut self) {
         if self.first.is_none() {
             self.first = Some(self.since.elapsed());
-            self.control.tell(Event::Begun(self.grant.ticket));
+            self.control.send(Event::Begun(self.grant.ticket));
         }
     }
 }
--- a/src/traffic/services/once.rs
+++ b/src/traffic/services/once.rs
@@ -109,7 +109,7 @@
     let control = &services.control;
     loop {
         let pin = chooser.version().cloned();
-        let ask = job.ask(control.ticket(), Purpose::First, avoid, pin);
+        let ask = job.ask(control.next_ticket(), Purpose::First, avoid, pin);
         match control.ask(ask).await {
             Ok(grant) => return Ok(Lease::new(control.clone(), grant, chooser.trial())),
             Err(refuse) if refuse.reason == Reason::NoRunner && chooser.fall_back() => {}
--- a/src/traffic/services/repeat.rs
+++ b/src/traffic/services/repeat.rs
@@ -28,7 +28,7 @@
 
 /// Sends a call until a runner answers it.
 pub async fn run<T: Table, X: Exchange>(services: &Services<T, X>, job: &Job) -> Result<Reply> {
-    let mut ticket = services.control.ticket();
+    let mut ticket = services.control.next_ticket();
     let mut purpose = Purpose::First;
     let mut avoid: Option<RunnerKey> = None;
     let mut chooser = job.chooser(&services.control.view());
@@ -40,7 +40,7 @@
         let grant = match services.control.ask(job.ask(ticket, purpose, avoid, pin)).await {
             Ok(grant) => grant,
             Err(refuse) if refuse.reason == Reason::NoRunner && chooser.fall_back() => {
-                (ticket, purpose) = (services.control.ticket(), Purpose::First);
+                (ticket, purpose) = (services.control.next_ticket(), Purpose::First);
                 continue;
             }
             Err(refuse) if tried == 1 => return Err(problem::refusal(&refuse)),
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -70,7 +70,7 @@
         };
         Driver {
             chooser,
-            ticket: control.ticket(),
+            ticket: control.next_ticket(),
             text: job.held.clone(),
             open: None,
             purpose: if resumed { Purpose::Resume } else { Purpose::First },
@@ -292,7 +292,7 @@
     fn start_over(&mut self) {
         self.text.clear();
         self.purpose = Purpose::First;
-        self.ticket = self.control.ticket();
+        self.ticket = self.control.next_ticket();
     }
 
     fn give_up(&mut self, problem: Problem) -> Piece {
--- a/tests/catalogue_keys.rs
+++ b/tests/catalogue_keys.rs
@@ -35,7 +35,7 @@
     let published = Published::default();
     let (control, receiver) = Control::new(published.clone());
     for numbered in catalogues {
-        control.catalog(numbered);
+        control.apply_catalog(numbered);
     }
     drop(control);
     drive(Core::new(1, Place::default()), receiver, published.clone()).await;
