--- a/src/control.rs
+++ b/src/control.rs
@@ -165,7 +165,7 @@
             }
             _ = ticks.tick() => {
                 batch.push(Message::Event(Event::Tick));
-                published.usage(core.usage());
+                published.set_usage(core.usage());
             }
         }
         let now = Instant::now();
@@ -195,7 +195,7 @@
             log::info!(revision = core.catalog().revision; "a catalogue is in force");
         }
         if changed {
-            published.core(&core);
+            published.set_core(&core);
         }
     }
 }
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -121,7 +121,7 @@
     /// been published: else a request that comes as the time lapses would see the node as serving,
     /// be taken in, and be cut by the exit.
     fn finished(&mut self) -> bool {
-        let refuses = self.published.load().life == DrainState::Refusing;
+        let refuses = self.published.load().drain == DrainState::Refusing;
         let open = self.leaving.open.load(Ordering::SeqCst);
         refuses && self.drain.finished(Instant::now(), open)
     }
@@ -129,7 +129,7 @@
     fn tick(&mut self, out: &mut Vec<Output>) {
         let now = Instant::now();
         let view = self.published.load();
-        if view.informed() {
+        if view.is_initialized() {
             self.members.ready();
         }
         if *self.leaving.wanted.borrow() && self.drain.listed() {
@@ -151,7 +151,7 @@
     fn list(&mut self, list: &InstanceList) {
         let now = Instant::now();
         self.members.list(now, list);
-        self.published.listed();
+        self.published.set_has_instances();
         let listed_leaving = list.instances.iter().any(|i| {
             i.kind == InstanceKind::Node && i.name == self.name && i.state == InstanceState::Leaving
         });
@@ -218,7 +218,7 @@
         let addresses = addresses.map(|a| NodeAddress { url: a.url, domain: a.domain }).collect();
         let nodes = self.members.nodes().collect();
         self.drain.accepts(Instant::now());
-        self.published.members(addresses, nodes, self.drain.state());
+        self.published.set_members(addresses, nodes, self.drain.state());
     }
 }
 
--- a/src/control/moves/task.rs
+++ b/src/control/moves/task.rs
@@ -220,7 +220,7 @@
         let splits: FxHashMap<EntryKey, Split> =
             view.catalog.entries.iter().filter_map(split).collect();
         if splits != *view.splits {
-            self.published.splits(splits);
+            self.published.set_splits(splits);
         }
     }
 }
--- a/src/control/view.rs
+++ b/src/control/view.rs
@@ -30,22 +30,22 @@
     /// All other nodes known.
     pub nodes: Vec<Node>,
     /// Whether an instance list has been had.
-    pub listed: bool,
+    pub has_instances: bool,
     /// Whether requests can be judged and the address answers hold this node.
     pub ready: bool,
     /// Whether this node is leaving.
-    pub life: DrainState,
+    pub drain: DrainState,
 }
 
 impl View {
     /// Whether a catalogue and an instance list have been had, so that requests can be judged.
-    pub fn informed(&self) -> bool {
-        self.catalog.revision > 0 && self.listed
+    pub fn is_initialized(&self) -> bool {
+        self.catalog.revision > 0 && self.has_instances
     }
 
     /// Whether new requests are taken.
-    pub fn accepts(&self) -> bool {
-        self.ready && matches!(self.life, DrainState::Serving | DrainState::Leaving)
+    pub fn accepts_requests(&self) -> bool {
+        self.ready && matches!(self.drain, DrainState::Serving | DrainState::Leaving)
     }
 }
 
@@ -58,9 +58,9 @@
             usage: Vec::new(),
             addresses: Vec::new(),
             nodes: Vec::new(),
-            listed: false,
+            has_instances: false,
             ready: false,
-            life: DrainState::Serving,
+            drain: DrainState::Serving,
         }
     }
 }
@@ -78,37 +78,37 @@
     }
 
     /// Publishes the core's catalogue and runners.
-    pub fn core(&self, core: &Core) {
+    pub fn set_core(&self, core: &Core) {
         let runners = core.watched().map(|(k, i)| (k, i.clone())).collect();
         let catalog = core.catalog().clone();
-        self.change(|view| View { catalog, runners, ..view });
+        self.update(|view| View { catalog, runners, ..view });
     }
 
     /// Publishes how requests are split.
-    pub fn splits(&self, splits: FxHashMap<EntryKey, Split>) {
-        self.change(|view| View { splits: Arc::new(splits), ..view });
+    pub fn set_splits(&self, splits: FxHashMap<EntryKey, Split>) {
+        self.update(|view| View { splits: Arc::new(splits), ..view });
     }
 
     /// Publishes what runs here.
-    pub fn usage(&self, usage: Vec<(EntryKey, AccountKey, u32)>) {
-        self.change(|view| View { usage, ..view });
+    pub fn set_usage(&self, usage: Vec<(EntryKey, AccountKey, u32)>) {
+        self.update(|view| View { usage, ..view });
     }
 
     /// Publishes what the membership knows.
     ///
     /// Readiness goes with the addresses: a node that called itself ready a moment before it stood in
     /// its own answers would send its first callers nowhere.
-    pub fn members(&self, addresses: Vec<NodeAddress>, nodes: Vec<Node>, life: DrainState) {
-        self.change(|view| View { ready: view.informed(), addresses, nodes, life, ..view });
+    pub fn set_members(&self, addresses: Vec<NodeAddress>, nodes: Vec<Node>, drain: DrainState) {
+        self.update(|view| View { ready: view.is_initialized(), addresses, nodes, drain, ..view });
     }
 
     /// Publishes that an instance list was had.
-    pub fn listed(&self) {
-        self.change(|view| View { listed: true, ..view });
+    pub fn set_has_instances(&self) {
+        self.update(|view| View { has_instances: true, ..view });
     }
 
-    fn change(&self, change: impl FnOnce(View) -> View) {
+    fn update(&self, update: impl FnOnce(View) -> View) {
         let old = View::clone(&self.view.load());
-        self.view.store(Arc::new(change(old)));
+        self.view.store(Arc::new(update(old)));
     }
 }
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -57,7 +57,7 @@
     }
 
     fn own(&self, view: &View) -> NodeRow {
-        let state = match view.life {
+        let state = match view.drain {
             DrainState::Serving if view.ready => NodeState::Ready,
             DrainState::Serving => NodeState::Starting,
             DrainState::Leaving | DrainState::Refusing => NodeState::Draining,
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -77,7 +77,7 @@
         open.fetch_add(1, Ordering::SeqCst);
         let entered = Entered(open.clone());
         let view = control.view();
-        if view.accepts() {
+        if view.accepts_requests() {
             return Ok(entered);
         }
         let detail = match view.ready {
