--- a/crates/scenarios/src/node.rs
+++ b/crates/scenarios/src/node.rs
@@ -129,7 +129,7 @@
             NodeAct::Pause if self.gate.life() == Life::Running => self.gate.set(Life::Paused),
             NodeAct::Wake if self.gate.life() == Life::Paused => self.gate.set(Life::Running),
             NodeAct::Pause | NodeAct::Wake => {}
-            NodeAct::Leave => _ = self.leaving.wanted.send_replace(true),
+            NodeAct::Leave => _ = self.leaving.requested.send_replace(true),
             NodeAct::CutOff => self.link.cut.store(true, SeqCst),
             NodeAct::Rejoin => self.link.cut.store(false, SeqCst),
         }
@@ -142,7 +142,7 @@
 
     /// Whether its process has exited after leaving.
     pub(crate) fn gone(&self) -> bool {
-        *self.leaving.gone.borrow()
+        *self.leaving.completed.borrow()
     }
 
     /// Spawns a task of this node.
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -45,19 +45,19 @@
 #[derive(Clone)]
 pub struct Leaving {
     /// Set to make the node leave.
-    pub wanted: watch::Sender<bool>,
+    pub requested: watch::Sender<bool>,
     /// Set when the node is idle and has announced its exit.
-    pub gone: watch::Sender<bool>,
+    pub completed: watch::Sender<bool>,
     /// Requests and streams under way.
-    pub open: Arc<AtomicUsize>,
+    pub in_flight: Arc<AtomicUsize>,
 }
 
 impl Default for Leaving {
     fn default() -> Leaving {
         Leaving {
-            wanted: watch::Sender::new(false),
-            gone: watch::Sender::new(false),
-            open: Arc::default(),
+            requested: watch::Sender::new(false),
+            completed: watch::Sender::new(false),
+            in_flight: Arc::default(),
         }
     }
 }
@@ -65,10 +65,10 @@
 impl Leaving {
     /// Makes the node leave, and waits until nothing is under way any more.
     pub async fn leave(&self) {
-        self.wanted.send_replace(true);
-        let mut gone = self.gone.subscribe();
+        self.requested.send_replace(true);
+        let mut completed = self.completed.subscribe();
         // The sender lives in this very struct.
-        _ = gone.wait_for(|gone| *gone).await;
+        _ = completed.wait_for(|completed| *completed).await;
     }
 }
 
@@ -114,7 +114,7 @@
         self.members.send_leave(&mut out);
         self.carry_out(out);
         self.net.close().await;
-        self.leaving.gone.send_replace(true);
+        self.leaving.completed.send_replace(true);
     }
 
     /// Whether this node has left. It looks at the requests under way only after its refusing has
@@ -122,8 +122,8 @@
     /// be taken in, and be cut by the exit.
     fn finished(&mut self) -> bool {
         let refuses = self.published.load().drain == DrainState::Refusing;
-        let open = self.leaving.open.load(Ordering::SeqCst);
-        refuses && self.drain.finished(Instant::now(), open)
+        let in_flight = self.leaving.in_flight.load(Ordering::SeqCst);
+        refuses && self.drain.finished(Instant::now(), in_flight)
     }
 
     fn tick(&mut self, out: &mut Vec<Output>) {
@@ -132,7 +132,7 @@
         if view.is_initialized() {
             self.members.ready();
         }
-        if *self.leaving.wanted.borrow() && self.drain.listed() {
+        if *self.leaving.requested.borrow() && self.drain.listed() {
             self.leave(now);
         }
         self.members.set_revision(view.catalog.revision, out);
--- a/src/node/serve.rs
+++ b/src/node/serve.rs
@@ -58,14 +58,14 @@
             sender: Sender::default(),
         },
         ttl: parts.settings.drain.ttl,
-        open: parts.leaving.open.clone(),
+        in_flight: parts.leaving.in_flight.clone(),
     }
 }
 
 fn measure(metrics: &Metrics, traffic: &Traffic) {
     let view = traffic.control.view();
     let running: u32 = view.usage.iter().map(|(.., count)| count).sum();
-    metrics.set(Gauge::Open, traffic.open.load(Ordering::Relaxed) as u64);
+    metrics.set(Gauge::Open, traffic.in_flight.load(Ordering::Relaxed) as u64);
     metrics.set(Gauge::Running, running.into());
     metrics.set(Gauge::Nodes, view.nodes.len() as u64 + 1);
     metrics.set(Gauge::Runners, view.runners.len() as u64);
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -56,13 +56,13 @@
     /// Seconds for which callers may keep an address answer.
     pub ttl: u32,
     /// Requests and streams under way.
-    pub open: Arc<AtomicUsize>,
+    pub in_flight: Arc<AtomicUsize>,
 }
 
 impl Traffic {
     /// Counts a request as under way, if new ones are taken.
     pub fn enter(&self) -> Result<Entered> {
-        Entered::new(&self.control, &self.open)
+        Entered::new(&self.control, &self.in_flight)
     }
 }
 
@@ -70,12 +70,12 @@
 pub struct Entered(Arc<AtomicUsize>);
 
 impl Entered {
-    /// Counts a request in `open`, if the node takes new ones.
-    pub fn new(control: &Control, open: &Arc<AtomicUsize>) -> Result<Entered> {
+    /// Counts a request in `in_flight`, if the node takes new ones.
+    pub fn new(control: &Control, in_flight: &Arc<AtomicUsize>) -> Result<Entered> {
         // Counted before the look: the node exits only when it refuses and nothing is counted, so a
         // request that saw it accept can't be overlooked and cut.
-        open.fetch_add(1, Ordering::SeqCst);
-        let entered = Entered(open.clone());
+        in_flight.fetch_add(1, Ordering::SeqCst);
+        let entered = Entered(in_flight.clone());
         let view = control.view();
         if view.accepts_requests() {
             return Ok(entered);
