--- a/crates/scenarios/src/operator.rs
+++ b/crates/scenarios/src/operator.rs
@@ -11,7 +11,7 @@
         world::Result,
     },
     bilberryfront::{
-        catalogue::store::{Change, Numbered, Outcome, Store, StoreError},
+        catalogue::store::{CatalogueRevision, Change, Outcome, Store, StoreError},
         key::digest,
     },
     bilberryfront_decide::{catalog::CatalogDoc, id::Revision},
@@ -51,7 +51,7 @@
     node.spawn(async move {
         let heard = match store.apply(&catalogue, expect, &change).await {
             Ok(Outcome::Applied(revision)) => {
-                control.apply_catalog(Numbered { revision, catalogue });
+                control.apply_catalog(CatalogueRevision { revision, catalogue });
                 (Told::Applied, revision)
             }
             Ok(Outcome::Conflict(revision)) => (Told::Conflict, revision),
--- a/src/catalogue/store.rs
+++ b/src/catalogue/store.rs
@@ -53,7 +53,7 @@
 /// A catalogue and its number.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Numbered {
+pub struct CatalogueRevision {
     /// 0 before the first catalogue.
     pub revision: Revision,
     /// The catalogue.
@@ -77,7 +77,7 @@
 /// A line of the catalogue's history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Past {
+pub struct HistoryEntry {
     /// The revision.
     pub revision: Revision,
     /// How it came about.
@@ -112,23 +112,23 @@
     }
 
     /// The newest catalogue; revision 0 and empty before the first.
-    pub async fn get(&self) -> Result<Numbered> {
+    pub async fn get(&self) -> Result<CatalogueRevision> {
         match self.head().await? {
-            0 => Ok(Numbered::default()),
+            0 => Ok(CatalogueRevision::default()),
             revision => self.revision(revision).await,
         }
     }
 
     /// The catalogue of one revision.
-    pub async fn revision(&self, revision: Revision) -> Result<Numbered> {
+    pub async fn revision(&self, revision: Revision) -> Result<CatalogueRevision> {
         let key = rev_key(revision);
         let rows = self.read(vec![key.clone()]).await?;
         let row = rows.first().ok_or_else(|| damaged(&key, "it is missing"))?;
-        Ok(Numbered { revision, catalogue: decode(row)? })
+        Ok(CatalogueRevision { revision, catalogue: decode(row)? })
     }
 
     /// The newest `limit` changes, the newest first.
-    pub async fn history(&self, limit: u32) -> Result<Vec<Past>> {
+    pub async fn history(&self, limit: u32) -> Result<Vec<HistoryEntry>> {
         let head = self.head().await?;
         let oldest = head.saturating_sub(limit.into()) + 1;
         let keys = (oldest..=head).rev().map(log_key).collect::<Vec<_>>();
@@ -137,7 +137,7 @@
         }
         let mut past = Vec::new();
         for row in self.read(keys).await? {
-            past.push(decode::<Past>(&row)?);
+            past.push(decode::<HistoryEntry>(&row)?);
         }
         past.sort_by_key(|p| std::cmp::Reverse(p.revision));
         Ok(past)
@@ -184,7 +184,7 @@
         for row in &rows {
             match row.key == HEAD {
                 true => now = decode::<Revision>(row)?,
-                false if decode::<Past>(row)?.change.apply == change.apply => {
+                false if decode::<HistoryEntry>(row)?.change.apply == change.apply => {
                     return Ok(Outcome::Applied(revision));
                 }
                 false => {}
@@ -217,7 +217,7 @@
 }
 
 fn commit(doc: &CatalogDoc, revision: Revision, head: RowRevision, change: &Change) -> Commit {
-    let past = Past { revision, change: change.clone() };
+    let past = HistoryEntry { revision, change: change.clone() };
     let writes = vec![
         write(HEAD.into(), head, &revision),
         write(rev_key(revision), 0, doc),
--- a/src/command/catalogue/apply.rs
+++ b/src/command/catalogue/apply.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        catalogue::{self, diff::diff, store::Numbered},
+        catalogue::{self, diff::diff, store::CatalogueRevision},
         command::Session,
         error::{Error, Exit, Result},
         operator::message::Proposal,
@@ -39,7 +39,7 @@
 }
 
 /// The file was made from an older revision: applying it would undo the changes since.
-fn check_revision(now: &Numbered, options: &ApplyOptions) -> Result<()> {
+fn check_revision(now: &CatalogueRevision, options: &ApplyOptions) -> Result<()> {
     match options.expect {
         Some(expect) if expect != now.revision => Err(Error::Conflict {
             detail: format!("revision {} is in force and not {expect}", now.revision),
--- a/src/control.rs
+++ b/src/control.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::{
-        catalogue::store::Numbered,
+        catalogue::store::CatalogueRevision,
         metrics::{Counter, Metrics},
     },
     bilberryfront_decide::{
@@ -101,8 +101,8 @@
     }
 
     /// Takes a catalogue, unless it has as new a one.
-    pub fn apply_catalog(&self, numbered: Numbered) {
-        let Numbered { revision, catalogue } = numbered;
+    pub fn apply_catalog(&self, numbered: CatalogueRevision) {
+        let CatalogueRevision { revision, catalogue } = numbered;
         self.send(Event::Catalog { revision, doc: Arc::new(catalogue) });
     }
 
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -7,7 +7,7 @@
         view::{Published, View},
     },
     crate::{
-        catalogue::store::Numbered,
+        catalogue::store::CatalogueRevision,
         peer::{Peers, Received},
     },
     bilberryfront_decide::{
@@ -178,7 +178,7 @@
         let CatalogPush { revision, doc } = push;
         match serde_json::from_str::<CatalogDoc>(&doc) {
             Ok(catalogue) if catalogue.check().is_empty() => {
-                self.control.apply_catalog(Numbered { revision, catalogue });
+                self.control.apply_catalog(CatalogueRevision { revision, catalogue });
             }
             _ => log::warn!("catalogue {revision} of a peer can't be read; waiting for the table"),
         }
--- a/src/control/moves/task.rs
+++ b/src/control/moves/task.rs
@@ -3,7 +3,7 @@
 use {
     super::{Message, Result},
     crate::{
-        catalogue::store::{Change, Numbered, Outcome, Store},
+        catalogue::store::{CatalogueRevision, Change, Outcome, Store},
         control::{
             Control,
             view::{Published, View},
@@ -39,7 +39,7 @@
 enum Answer {
     Rows(u64, Option<Rows>),
     Committed(u64, Option<Committed>),
-    Adopted(Option<Numbered>),
+    Adopted(Option<CatalogueRevision>),
 }
 
 /// The task that drives the mover of one node.
@@ -238,11 +238,11 @@
     store: &Store<T>,
     entry: &str,
     version: CompactString,
-) -> Option<Numbered> {
-    let Numbered { revision, mut catalogue } = store.get().await.ok()?;
+) -> Option<CatalogueRevision> {
+    let CatalogueRevision { revision, mut catalogue } = store.get().await.ok()?;
     let found = catalogue.entries.iter_mut().find(|e| e.name == entry)?;
     if found.version == version {
-        return Some(Numbered { revision, catalogue });
+        return Some(CatalogueRevision { revision, catalogue });
     }
     let comment = format!("{entry}: {} to {version}", found.version);
     found.version = version;
@@ -253,7 +253,7 @@
         comment,
     };
     match store.apply(&catalogue, revision, &change).await.ok()? {
-        Outcome::Applied(revision) => Some(Numbered { revision, catalogue }),
+        Outcome::Applied(revision) => Some(CatalogueRevision { revision, catalogue }),
         Outcome::Conflict(_) => None,
     }
 }
--- a/src/control/pollers.rs
+++ b/src/control/pollers.rs
@@ -3,7 +3,7 @@
 use {
     super::Control,
     crate::{
-        catalogue::store::{Numbered, Store},
+        catalogue::store::{CatalogueRevision, Store},
         platform::{http::Service, instances, table::Table},
     },
     bilberryfront_decide::{
@@ -106,7 +106,7 @@
     control.send(event);
 }
 
-async fn newer<T: Table>(store: &Store<T>, known: Revision) -> Option<Numbered> {
+async fn newer<T: Table>(store: &Store<T>, known: Revision) -> Option<CatalogueRevision> {
     let head = store.head().await.ok()?;
     if head <= known {
         return None;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operators' HTTP face: the server side on a node, the client side in the command line.
 //!
-//! - `GET /v1/catalogue`: the catalogue in force, [`crate::catalogue::store::Numbered`].
+//! - `GET /v1/catalogue`: the catalogue in force, [`crate::catalogue::store::CatalogueRevision`].
 //! - `PUT /v1/catalogue` with [`message::Proposal`]: [`message::Accepted`], or a problem.
-//! - `GET /v1/catalogue/history`: a list of [`crate::catalogue::store::Past`], the newest first.
+//! - `GET /v1/catalogue/history`: a list of [`crate::catalogue::store::HistoryEntry`], the newest first.
 //! - `GET /v1/nodes`: [`message::Nodes`].
 //! - `POST /v1/moves` with [`message::MoveRequest`]: [`message::MoveAccepted`], or a problem.
 //! - `GET /v1/moves`: a list of [`message::MoveReport`].
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -6,7 +6,7 @@
         refusal::{CONFLICT, MOVE_UNKNOWN, STORE_DOWN, UNKNOWN},
     },
     crate::{
-        catalogue::store::{Numbered, Past},
+        catalogue::store::{CatalogueRevision, HistoryEntry},
         error::{Error, Result},
         platform::http::is_unsent,
     },
@@ -48,12 +48,12 @@
     }
 
     /// The catalogue in force.
-    pub async fn catalogue(&self) -> Result<Numbered> {
+    pub async fn catalogue(&self) -> Result<CatalogueRevision> {
         self.call(Method::GET, "/v1/catalogue", None).await
     }
 
     /// The newest changes of the catalogue.
-    pub async fn history(&self) -> Result<Vec<Past>> {
+    pub async fn history(&self) -> Result<Vec<HistoryEntry>> {
         self.call(Method::GET, "/v1/catalogue/history", None).await
     }
 
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -6,7 +6,7 @@
         server,
     },
     crate::{
-        catalogue::store::Numbered,
+        catalogue::store::CatalogueRevision,
         control::{Control, view::View},
     },
     bilberryfront_decide::{
@@ -41,7 +41,7 @@
         Nodes { revision: view.catalog.revision, nodes: rows }
     }
 
-    fn accepted(&self, numbered: Numbered) {
+    fn accepted(&self, numbered: CatalogueRevision) {
         self.control.apply_catalog(numbered);
     }
 }
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -7,7 +7,7 @@
         refusal::Refusal,
     },
     crate::{
-        catalogue::store::{Change, Numbered, Outcome, Store},
+        catalogue::store::{CatalogueRevision, Change, Outcome, Store},
         platform::table::Table,
     },
     bytes::Bytes,
@@ -37,7 +37,7 @@
     /// Every node that this one knows of, itself included.
     fn nodes(&self) -> Nodes;
     /// Takes a catalogue that was just accepted, and tells peers; must not block.
-    fn accepted(&self, numbered: Numbered);
+    fn accepted(&self, numbered: CatalogueRevision);
 }
 
 /// The operators' face of a node.
@@ -83,7 +83,7 @@
 }
 
 impl<T: Table, C: Control> Face<T, C> {
-    async fn catalogue(&self, headers: &HeaderMap) -> Result<Numbered> {
+    async fn catalogue(&self, headers: &HeaderMap) -> Result<CatalogueRevision> {
         self.operator(headers)?;
         Ok(self.store.get().await?)
     }
@@ -108,7 +108,7 @@
         let change = Change { apply, who, when: Timestamp::now(), comment };
         match self.store.apply(&catalogue, expect, &change).await? {
             Outcome::Applied(revision) => {
-                self.control.accepted(Numbered { revision, catalogue });
+                self.control.accepted(CatalogueRevision { revision, catalogue });
                 Ok(Accepted { revision })
             }
             Outcome::Conflict(now) => Err(Refusal::Conflict { expect, now }),
--- a/src/output.rs
+++ b/src/output.rs
@@ -7,7 +7,7 @@
     crate::{
         catalogue::{
             diff::Difference,
-            store::{Numbered, Past},
+            store::{CatalogueRevision, HistoryEntry},
         },
         operator::message::{Accepted, MoveReport, Nodes},
     },
@@ -30,11 +30,11 @@
 /// Turns results into text; each ends with a line break.
 pub trait Output {
     /// The catalogue in force.
-    fn catalogue(&self, numbered: &Numbered) -> String;
+    fn catalogue(&self, numbered: &CatalogueRevision) -> String;
     /// What differs between the revision in force and a file.
     fn differences(&self, revision: Revision, differences: &[Difference]) -> String;
     /// The catalogue's history.
-    fn history(&self, past: &[Past]) -> String;
+    fn history(&self, past: &[HistoryEntry]) -> String;
     /// Nodes.
     fn nodes(&self, nodes: &Nodes) -> String;
     /// The latest moves of all entries.
--- a/src/output/human.rs
+++ b/src/output/human.rs
@@ -7,7 +7,7 @@
     crate::{
         catalogue::{
             diff::Difference,
-            store::{Numbered, Past},
+            store::{CatalogueRevision, HistoryEntry},
         },
         operator::message::{Accepted, MoveReport, Nodes},
     },
@@ -25,7 +25,7 @@
 
 impl Output for Human {
     /// A catalogue file that can be edited and applied.
-    fn catalogue(&self, numbered: &Numbered) -> String {
+    fn catalogue(&self, numbered: &CatalogueRevision) -> String {
         let doc = serde_json::to_string_pretty(&numbered.catalogue);
         let doc = doc.expect("catalogues always serialize");
         format!("// revision {}\n{doc}\n", numbered.revision)
@@ -43,9 +43,9 @@
         format!("{table}\n{count} from revision {revision}\n")
     }
 
-    fn history(&self, past: &[Past]) -> String {
+    fn history(&self, past: &[HistoryEntry]) -> String {
         let mut table = table(&["revision", "when", "who", "comment"]);
-        for Past { revision, change } in past {
+        for HistoryEntry { revision, change } in past {
             table.add_row([
                 revision.to_string(),
                 change.when.strftime(TIME).to_string(),
--- a/src/output/json.rs
+++ b/src/output/json.rs
@@ -5,7 +5,7 @@
     crate::{
         catalogue::{
             diff::Difference,
-            store::{Numbered, Past},
+            store::{CatalogueRevision, HistoryEntry},
         },
         operator::message::{Accepted, MoveReport, Nodes},
     },
@@ -31,7 +31,7 @@
 }
 
 impl Output for Json {
-    fn catalogue(&self, numbered: &Numbered) -> String {
+    fn catalogue(&self, numbered: &CatalogueRevision) -> String {
         text(numbered)
     }
 
@@ -39,7 +39,7 @@
         text(&Compared { revision, differences })
     }
 
-    fn history(&self, past: &[Past]) -> String {
+    fn history(&self, past: &[HistoryEntry]) -> String {
         text(&past)
     }
 
--- a/tests/catalogue_apply.rs
+++ b/tests/catalogue_apply.rs
@@ -10,7 +10,7 @@
 
 use {
     bilberryfront::{
-        catalogue::store::{Numbered, Store},
+        catalogue::store::{CatalogueRevision, Store},
         key::digest,
         operator::{
             Control, Face,
@@ -37,7 +37,7 @@
 /// A node that only remembers what it was told.
 #[derive(Clone, Default)]
 struct FakeNode {
-    accepted: Arc<Mutex<Vec<Numbered>>>,
+    accepted: Arc<Mutex<Vec<CatalogueRevision>>>,
 }
 
 impl Control for FakeNode {
@@ -52,7 +52,7 @@
         Nodes { revision: 3, nodes: vec![node] }
     }
 
-    fn accepted(&self, numbered: Numbered) {
+    fn accepted(&self, numbered: CatalogueRevision) {
         self.accepted.lock().unwrap().push(numbered);
     }
 }
--- a/tests/catalogue_keys.rs
+++ b/tests/catalogue_keys.rs
@@ -2,7 +2,7 @@
 
 use {
     bilberryfront::{
-        catalogue::store::Numbered,
+        catalogue::store::CatalogueRevision,
         control::{
             Control, drive,
             view::{Published, View},
@@ -15,7 +15,7 @@
     std::sync::Arc,
 };
 
-fn numbered(revision: u64, names: &[&str]) -> Numbered {
+fn numbered(revision: u64, names: &[&str]) -> CatalogueRevision {
     let entry = |name: &&str| Entry {
         name: (*name).into(),
         owner: "desk".into(),
@@ -27,11 +27,11 @@
         accounts: vec![],
     };
     let entries = names.iter().map(entry).collect();
-    Numbered { revision, catalogue: CatalogDoc { accounts: vec![], entries } }
+    CatalogueRevision { revision, catalogue: CatalogDoc { accounts: vec![], entries } }
 }
 
 /// Lets a control thread take the catalogues in one go, and gives what it publishes.
-async fn taken(catalogues: Vec<Numbered>) -> Arc<View> {
+async fn taken(catalogues: Vec<CatalogueRevision>) -> Arc<View> {
     let published = Published::default();
     let (control, receiver) = Control::new(published.clone());
     for numbered in catalogues {
--- a/tests/catalogue_store.rs
+++ b/tests/catalogue_store.rs
@@ -5,7 +5,7 @@
 mod table;
 
 use {
-    bilberryfront::catalogue::store::{Change, Numbered, Outcome, Store, StoreError},
+    bilberryfront::catalogue::store::{CatalogueRevision, Change, Outcome, Store, StoreError},
     bilberryfront_decide::catalog::{Account, CatalogDoc},
     bilberryfront_wire::table::Commit,
     table::{FakeTable, Fault},
@@ -40,7 +40,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_empty_table_holds_revision_0() {
     let (_, store) = store();
-    assert_eq!(store.get().await, Ok(Numbered::default()));
+    assert_eq!(store.get().await, Ok(CatalogueRevision::default()));
     assert_eq!(store.history(10).await, Ok(vec![]));
 }
 
@@ -49,7 +49,7 @@
     let (_, store) = store();
     assert_eq!(store.apply(&doc("a"), 0, &change("one")).await, Ok(Outcome::Applied(1)));
     assert_eq!(store.apply(&doc("b"), 1, &change("two")).await, Ok(Outcome::Applied(2)));
-    assert_eq!(store.get().await, Ok(Numbered { revision: 2, catalogue: doc("b") }));
+    assert_eq!(store.get().await, Ok(CatalogueRevision { revision: 2, catalogue: doc("b") }));
     assert_eq!(store.revision(1).await.unwrap().catalogue, doc("a"));
     let past = store.history(10).await.unwrap();
     assert_eq!(past.iter().map(|p| p.revision).collect::<Vec<_>>(), [2, 1]);
--- a/tests/once_intents.rs
+++ b/tests/once_intents.rs
@@ -225,7 +225,10 @@
     let claims = join_all(keys.iter().map(|k| a.claim(call(k)))).await;
     let down = claims.iter().filter(|c| matches!(c, Claim::NotRun(PlatformError::Down(_)))).count();
     assert_eq!(down, 48);
-    assert!(asked.elapsed() <= limits.reply_timeout * 2 + limits.interval, "one commit and one read");
+    assert!(
+        asked.elapsed() <= limits.reply_timeout * 2 + limits.interval,
+        "one commit and one read"
+    );
 }
 
 /// A node has sent a call and the table goes down. The retry at this node must not hear "not run".
--- a/tests/once_peek.rs
+++ b/tests/once_peek.rs
@@ -35,7 +35,9 @@
         |incarnation| Intents::start(table.clone(), Incarnation(incarnation), Limits::default());
     let (a, b) = (node(1), node(2));
     assert!(matches!(b.peek(&call(b"1")).await, Claim::NotRun(_)));
-    let Claim::Granted(mut permit) = a.claim(call(b"1")).await else { panic!("the first is granted") };
+    let Claim::Granted(mut permit) = a.claim(call(b"1")).await else {
+        panic!("the first is granted")
+    };
     assert!(permit.begin());
     assert!(matches!(b.peek(&call(b"1")).await, Claim::Busy(_)));
     a.settle(permit, receipt()).await;
