--- a/src/node/serve.rs
+++ b/src/node/serve.rs
@@ -7,7 +7,7 @@
         error::Result,
         intents::{Intents, Limits, sweep},
         metrics::{Gauge, Metrics, flush_always, measure_always},
-        operator::{self, Face, control::Asked, key::Keys, moves::MovesFace},
+        operator::{self, OperatorApi, control::NodeHandle, key::Keys, moves::MovesApi},
         traffic::{self, Traffic, send::Sender, services::Services, upstream::HttpEngines},
     },
     bilberryfront_decide::member::message::NodeLocation,
@@ -37,7 +37,7 @@
     });
     tokio::spawn(sweeper);
     let face = face(parts);
-    let moves = MovesFace { keys: face.keys.clone(), asked: face.control.clone() };
+    let moves = MovesApi { keys: face.keys.clone(), node: face.control.clone() };
     let router = operator::router(face).merge(operator::moves::router(moves));
     tokio::spawn(serve(parts.clone(), router, operators));
     let served = serve(parts.clone(), traffic::router(traffic), callers).await;
@@ -79,17 +79,17 @@
     metrics.set(Gauge::IntentsUnrecorded, intents.unrecorded());
 }
 
-fn face(parts: &Parts) -> Face<crate::platform::table::HttpTable, Asked> {
+fn face(parts: &Parts) -> OperatorApi<crate::platform::table::HttpTable, NodeHandle> {
     let settings = &parts.settings;
     let location = NodeLocation {
         domain: settings.domain.clone(),
         url: parts.url.clone(),
         peer: CompactString::default(),
     };
-    Face {
+    OperatorApi {
         store: Store::new(parts.table()),
         keys: Keys::new(settings.operators.clone()),
-        control: Asked {
+        control: NodeHandle {
             control: parts.control.clone(),
             name: settings.name.clone(),
             incarnation: parts.incarnation,
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -21,4 +21,4 @@
 mod report;
 pub mod server;
 
-pub use server::{Control, Face, router};
+pub use server::{Control, OperatorApi, router};
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -21,7 +21,7 @@
 
 /// The node that is asked, as the operators see it.
 #[derive(Clone)]
-pub struct Asked {
+pub struct NodeHandle {
     /// Its control thread.
     pub control: Control,
     /// Its name.
@@ -32,7 +32,7 @@
     pub location: NodeLocation,
 }
 
-impl server::Control for Asked {
+impl server::Control for NodeHandle {
     fn nodes(&self) -> Nodes {
         let view = self.control.view();
         let others = view.nodes.iter().map(row);
@@ -46,7 +46,7 @@
     }
 }
 
-impl Asked {
+impl NodeHandle {
     /// Name of the node in this life; a life that isn't known any more has none.
     pub(super) fn name_of(&self, life: Incarnation) -> Option<CompactString> {
         if life == self.incarnation {
--- a/src/operator/moves.rs
+++ b/src/operator/moves.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        control::Asked,
+        control::NodeHandle,
         key::Keys,
         message::{MoveAccepted, MoveReport, MoveRequest},
         refusal::Refusal,
@@ -27,15 +27,15 @@
 };
 
 /// The operators' face of a node's moves.
-pub struct MovesFace {
+pub struct MovesApi {
     /// Keys that may be used.
     pub keys: Keys,
     /// The node.
-    pub asked: Asked,
+    pub node: NodeHandle,
 }
 
 /// The routes of moves, without a fallback.
-pub fn router(face: MovesFace) -> Router {
+pub fn router(face: MovesApi) -> Router {
     let face = Arc::new(face);
     let all = {
         let (read, write) = (face.clone(), face.clone());
@@ -65,19 +65,19 @@
         .route("/v1/moves/{entry}/undo", undo)
 }
 
-impl MovesFace {
+impl MovesApi {
     async fn list(&self, headers: &HeaderMap) -> Result<Vec<MoveReport>> {
         self.operator(headers)?;
-        let moves = self.asked.control.moves().list().await;
-        Ok(moves.into_iter().map(|s| report(&self.asked, s)).collect())
+        let moves = self.node.control.moves().list().await;
+        Ok(moves.into_iter().map(|s| report(&self.node, s)).collect())
     }
 
     async fn status(&self, entry: &str, headers: &HeaderMap) -> Result<MoveReport> {
         self.operator(headers)?;
         self.versions(entry)?;
-        let moves = self.asked.control.moves().list().await;
+        let moves = self.node.control.moves().list().await;
         let status = moves.into_iter().find(|s| s.moved.entry == entry);
-        status.map(|s| report(&self.asked, s)).ok_or_else(|| Refusal::NoMove(entry.into()))
+        status.map(|s| report(&self.node, s)).ok_or_else(|| Refusal::NoMove(entry.into()))
     }
 
     async fn start(&self, request: Request) -> Result<MoveAccepted> {
@@ -93,7 +93,7 @@
         let by = by.from(Timestamp::now()).unwrap_or(Timestamp::MAX);
         let by = Millis::try_from(by.as_millisecond()).unwrap_or_default();
         let start = Start { entry: entry.clone(), to, by, weights, force };
-        let moved = self.asked.control.moves().start(start).await;
+        let moved = self.node.control.moves().start(start).await;
         let id = moved.map(id).map_err(|e| refusal(&entry, e))?;
         log::info!("move {id} of {entry} was started by {who}");
         Ok(MoveAccepted { id })
@@ -102,14 +102,14 @@
     async fn undo(&self, entry: &str, headers: &HeaderMap) -> Result<MoveAccepted> {
         let who = self.operator(headers)?;
         self.versions(entry)?;
-        let moved = self.asked.control.moves().undo(entry.into()).await;
+        let moved = self.node.control.moves().undo(entry.into()).await;
         let id = moved.map(id).map_err(|e| refusal(entry, e))?;
         log::info!("move {id} of {entry} was undone by {who}");
         Ok(MoveAccepted { id })
     }
 
     fn versions(&self, entry: &str) -> Result<Vec<CompactString>> {
-        let view = self.asked.control.view();
+        let view = self.node.control.view();
         let found = view.catalog.entries.values().find(|e| e.name == entry);
         match found {
             Some(found) => Ok(found.versions.clone()),
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        control::Asked,
+        control::NodeHandle,
         message::{MoveReport, MoveState, MoveVerdict},
     },
     bilberryfront_decide::{
@@ -19,7 +19,7 @@
 }
 
 /// The report of a node that was asked.
-pub(super) fn report(asked: &Asked, status: Status) -> MoveReport {
+pub(super) fn report(handle: &NodeHandle, status: Status) -> MoveReport {
     let step = match status.standing {
         Standing::Moving(step) => Some(step + 1),
         _ => None,
@@ -35,13 +35,13 @@
         state: state(&status.standing),
         step,
         steps: moved.steps.len(),
-        verdict: status.standing.verdict().map(|v| verdict(asked, v)),
+        verdict: status.standing.verdict().map(|v| verdict(handle, v)),
         entry: moved.entry,
         from: moved.from,
         to: moved.to,
         share: status.share,
         here: status.here,
-        holder: status.holder.and_then(|h| asked.name_of(h)),
+        holder: status.holder.and_then(|h| handle.name_of(h)),
         waiting: status.waiting,
         next: status.next,
         routes: status.routes,
@@ -57,10 +57,10 @@
     }
 }
 
-fn verdict(asked: &Asked, verdict: &Verdict) -> MoveVerdict {
+fn verdict(handle: &NodeHandle, verdict: &Verdict) -> MoveVerdict {
     let Verdict { cause, ref route, node } = *verdict;
     let gone = |Incarnation(life)| format_compact!("a former node ({life:016x})");
-    let node = asked.name_of(node).unwrap_or_else(|| gone(node));
+    let node = handle.name_of(node).unwrap_or_else(|| gone(node));
     MoveVerdict { cause, route: route.clone(), node }
 }
 
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -41,7 +41,7 @@
 }
 
 /// The operators' face of a node.
-pub struct Face<T, C> {
+pub struct OperatorApi<T, C> {
     /// The catalogue.
     pub store: Store<T>,
     /// Keys that may be used.
@@ -51,7 +51,7 @@
 }
 
 /// The face's routes.
-pub fn router<T: Table, C: Control>(face: Face<T, C>) -> Router {
+pub fn router<T: Table, C: Control>(face: OperatorApi<T, C>) -> Router {
     let face = Arc::new(face);
     let catalogue = {
         let (read, write) = (face.clone(), face.clone());
@@ -82,7 +82,7 @@
         .fallback(async || Refusal::Path.response())
 }
 
-impl<T: Table, C: Control> Face<T, C> {
+impl<T: Table, C: Control> OperatorApi<T, C> {
     async fn catalogue(&self, headers: &HeaderMap) -> Result<CatalogueRevision> {
         self.operator(headers)?;
         Ok(self.store.get().await?)
--- a/tests/catalogue_apply.rs
+++ b/tests/catalogue_apply.rs
@@ -13,7 +13,7 @@
         catalogue::store::{CatalogueRevision, Store},
         key::digest,
         operator::{
-            Control, Face,
+            Control, OperatorApi,
             key::Keys,
             message::{NodeRow, Nodes},
             router,
@@ -76,7 +76,7 @@
         let runtime = Runtime::new().unwrap();
         let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).unwrap();
         let url = format!("http://{}", listener.local_addr().unwrap());
-        let face = Face {
+        let face = OperatorApi {
             store: Store::new(table.clone()),
             keys: Keys::new(vec![digest("another"), digest(KEY)]),
             control: node.clone(),
