--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -4,8 +4,8 @@
     crate::{
         error::{Error, Exit, Result},
         explain::{
+            history::{History, Subject},
             line::Logs,
-            story::{Story, Subject},
         },
         options::ExplainOptions,
         output::{self, Format},
@@ -20,18 +20,18 @@
 /// Name that stands for standard input.
 const STDIN: &str = "-";
 
-/// Reads the logs and tells the story.
+/// Reads the logs and prints the history.
 pub fn run(options: &ExplainOptions) -> Result<Exit> {
     let mut logs = Logs::default();
     for path in &options.logs {
         let name = path.file_stem().unwrap_or_default().to_string_lossy();
         logs.add(&name, &read(path)?);
     }
-    if logs.passed_over > 0 {
-        eprintln!("lines that are no log lines, passed over: {}", logs.passed_over);
+    if logs.unreadable > 0 {
+        eprintln!("lines that are no log lines, passed over: {}", logs.unreadable);
     }
-    let story = Subject::find(&logs, &options.id).map(|subject| Story::new(&logs, &subject));
-    let Some(story) = story else {
+    let history = Subject::find(&logs, &options.id).map(|subject| History::new(&logs, &subject));
+    let Some(history) = history else {
         eprintln!(
             "no line names `{}`: give the logs of all instances; a request's next attempt has another id",
             options.id
@@ -39,8 +39,8 @@
         return Ok(Exit::Failed);
     };
     output::print(&match options.format {
-        Format::Human => story.to_string(),
-        Format::Json => output::json::text(&story),
+        Format::Human => history.to_string(),
+        Format::Json => output::json::text(&history),
     });
     Ok(Exit::Done)
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -3,4 +3,4 @@
 
 mod cause;
 pub mod line;
-pub mod story;
+pub mod history;
--- a/src/explain/story.rs
+++ b/src/explain/history.rs
@@ -37,7 +37,7 @@
 
 /// The story of one subject.
 #[derive(Debug, Serialize)]
-pub struct Story {
+pub struct History {
     /// What it is about.
     pub subject: Subject,
     /// What the lines point to.
@@ -83,9 +83,9 @@
     }
 }
 
-impl Story {
+impl History {
     /// Tells of a subject that at least one line names.
-    pub fn new(logs: &Logs, subject: &Subject) -> Story {
+    pub fn new(logs: &Logs, subject: &Subject) -> History {
         let own: Vec<&Line> = logs.lines.iter().filter(|line| subject.is_named(line)).collect();
         let cause = match subject {
             Subject::Request(_) => cause::of_request(logs, &own),
@@ -100,7 +100,7 @@
             text: sentence(line),
             own: subject.is_named(line),
         };
-        Story { subject: subject.clone(), cause, events: shown.map(event).collect() }
+        History { subject: subject.clone(), cause, events: shown.map(event).collect() }
     }
 }
 
@@ -138,7 +138,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for History {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.subject {
             Subject::Request(id) => writeln!(f, "request {id}")?,
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -30,7 +30,7 @@
     /// The lines.
     pub lines: Vec<Line>,
     /// Lines that could not be read.
-    pub passed_over: usize,
+    pub unreadable: usize,
 }
 
 /// A line as JSON.
@@ -50,7 +50,7 @@
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             let Ok(Written { timestamp: at, message, kvs: fields }) = serde_json::from_str(line)
             else {
-                self.passed_over += 1;
+                self.unreadable += 1;
                 continue;
             };
             order = order.max(at);
