--- a/crates/scenarios/src/caller.rs
+++ b/crates/scenarios/src/caller.rs
@@ -8,7 +8,7 @@
         wire::Wire,
     },
     bilberryfront::traffic::{
-        Entered, access, auth,
+        InFlight, access, auth,
         problem::{Kind as ProblemKind, not_run},
         send::Reply,
         services::{self, Services, job},
@@ -141,7 +141,7 @@
     let open = node.leaving.open.clone();
     node.spawn(async move {
         let catalog = control.view().catalog.clone();
-        let prepared = Entered::new(&control, &open)
+        let prepared = InFlight::new(&control, &open)
             .and_then(|e| Ok((e, prepare(&catalog, &caller.lock().unwrap(), leg)?)));
         match prepared {
             Ok((_entered, (job, generation))) => {
@@ -236,7 +236,7 @@
     open: &Arc<AtomicUsize>,
     call: &Call,
 ) -> Result<Reply, Problem> {
-    let entered = Entered::new(&services.control, open)?;
+    let entered = InFlight::new(&services.control, open)?;
     let catalog = services.control.view().catalog.clone();
     let job = read(&catalog, call).await?;
     match call.key.clone() {
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -61,21 +61,21 @@
 
 impl Traffic {
     /// Counts a request as under way, if new ones are taken.
-    pub fn enter(&self) -> Result<Entered> {
-        Entered::new(&self.control, &self.in_flight)
+    pub fn begin_request(&self) -> Result<InFlight> {
+        InFlight::new(&self.control, &self.in_flight)
     }
 }
 
 /// A request under way, until dropped.
-pub struct Entered(Arc<AtomicUsize>);
+pub struct InFlight(Arc<AtomicUsize>);
 
-impl Entered {
+impl InFlight {
     /// Counts a request in `in_flight`, if the node takes new ones.
-    pub fn new(control: &Control, in_flight: &Arc<AtomicUsize>) -> Result<Entered> {
+    pub fn new(control: &Control, in_flight: &Arc<AtomicUsize>) -> Result<InFlight> {
         // Counted before the look: the node exits only when it refuses and nothing is counted, so a
         // request that saw it accept can't be overlooked and cut.
         in_flight.fetch_add(1, Ordering::SeqCst);
-        let entered = Entered(in_flight.clone());
+        let entered = InFlight(in_flight.clone());
         let view = control.view();
         if view.accepts_requests() {
             return Ok(entered);
@@ -88,7 +88,7 @@
     }
 }
 
-impl Drop for Entered {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
--- a/src/traffic/addresses.rs
+++ b/src/traffic/addresses.rs
@@ -16,7 +16,7 @@
 
 /// `GET /readyz`: whether requests can be served.
 pub async fn ready(Extension(traffic): Extension<Traffic>) -> Response {
-    match traffic.enter() {
+    match traffic.begin_request() {
         Ok(_) => StatusCode::OK.into_response(),
         Err(problem) => problem::response(&problem),
     }
--- a/src/traffic/completions.rs
+++ b/src/traffic/completions.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Entered, Traffic, access, addresses, auth, body,
+        InFlight, Traffic, access, addresses, auth, body,
         meter::Meter,
         problem::{self, Kind, not_run},
         stream::{Delivered, Driver, Job, Piece},
@@ -50,7 +50,7 @@
 async fn answered(traffic: Traffic, request: Request) -> Response {
     let mut meter = Meter::start(traffic.control.metrics());
     let (head, body) = request.into_parts();
-    let entered = match traffic.enter() {
+    let entered = match traffic.begin_request() {
         Ok(entered) => entered,
         Err(problem) => return failed(&problem, &mut meter),
     };
@@ -213,7 +213,7 @@
 async fn streamed<E: Engines>(
     mut driver: Driver<E>,
     mut meter: Meter,
-    entered: Entered,
+    entered: InFlight,
 ) -> Response {
     let first = match driver.next().await {
         Some(Piece::Failed(problem)) => return failed(&problem, &mut meter),
--- a/src/traffic/services.rs
+++ b/src/traffic/services.rs
@@ -52,7 +52,7 @@
 }
 
 async fn routed(traffic: Traffic, request: Request) -> Result<Reply> {
-    let entered = traffic.enter()?;
+    let entered = traffic.begin_request()?;
     let (head, body) = request.into_parts();
     let view = traffic.control.view();
     let account = auth::account(&view.catalog, &head.headers)?;
