--- a/crates/scenarios/src/caller.rs
+++ b/crates/scenarios/src/caller.rs
@@ -177,7 +177,7 @@
     let prompt = request.prompt.to_string();
     let job = Job {
         request: caller.name.clone(),
-        leg,
+        runner_request: leg,
         entry: key,
         account,
         limits: entry.limits,
@@ -188,7 +188,7 @@
         prompt,
         max,
         priority: 8,
-        held,
+        resumed_text: held,
     };
     Ok((job, generation))
 }
--- a/src/traffic/completions.rs
+++ b/src/traffic/completions.rs
@@ -91,7 +91,7 @@
     };
     let job = Job {
         request: id,
-        leg: fresh,
+        runner_request: fresh,
         entry: key,
         account,
         limits: entry.limits,
@@ -101,7 +101,7 @@
         prompt: request.prompt,
         max,
         priority: priority(entry.class),
-        held: request.resume.unwrap_or_default(),
+        resumed_text: request.resume.unwrap_or_default(),
     };
     Ok((
         Driver::new(traffic.control.clone(), traffic.engines.clone(), job, generation),
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -64,14 +64,14 @@
         let chooser = match resumed {
             true => Chooser::default(),
             false => {
-                let hash = xxh64(job.leg.as_bytes(), 0);
+                let hash = xxh64(job.runner_request.as_bytes(), 0);
                 Chooser::new(&control.view(), job.entry, job.account, job.route.clone(), hash)
             }
         };
         Driver {
             chooser,
             ticket: control.next_ticket(),
-            text: job.held.clone(),
+            text: job.resumed_text.clone(),
             open: None,
             purpose: if resumed { Purpose::Resume } else { Purpose::First },
             avoid: None,
@@ -157,7 +157,7 @@
     fn generate(&mut self, grant: &Grant) -> Generate {
         let attempt = self.generation.granted(&grant.version);
         Generate {
-            request: self.job.leg.clone(),
+            request: self.job.runner_request.clone(),
             attempt,
             model: self.job.model.clone(),
             version: grant.version.clone(),
--- a/src/traffic/stream/job.rs
+++ b/src/traffic/stream/job.rs
@@ -35,7 +35,7 @@
     /// Identifier that the caller sees, the same over resumes.
     pub request: CompactString,
     /// Identifier that runners see, new with each request of the caller.
-    pub leg: CompactString,
+    pub runner_request: CompactString,
     /// Entry.
     pub entry: EntryKey,
     /// Account.
@@ -55,5 +55,5 @@
     /// Higher runs first at the runner.
     pub priority: u8,
     /// Text that the caller holds already.
-    pub held: String,
+    pub resumed_text: String,
 }
