--- a/crates/scenarios/src/caller.rs
+++ b/crates/scenarios/src/caller.rs
@@ -138,7 +138,7 @@
         leg
     };
     let (control, wire, caller) = (node.control.clone(), node.wire.clone(), caller.clone());
-    let open = node.leaving.open.clone();
+    let open = node.leaving.in_flight.clone();
     node.spawn(async move {
         let catalog = control.view().catalog.clone();
         let prepared = InFlight::new(&control, &open)
@@ -216,7 +216,7 @@
 /// Calls a plain service through a node.
 pub(crate) fn call(node: &mut Node, caller: &Shared) -> AbortHandle {
     let (services, caller) = (node.services.clone(), caller.clone());
-    let open = node.leaving.open.clone();
+    let open = node.leaving.in_flight.clone();
     node.spawn(async move {
         let Asked::Call(call) = caller.lock().unwrap().asked.clone() else { panic!("no call") };
         let answer = route(services, &open, &call).await;
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -166,7 +166,7 @@
             Received::Broken(name) => self.members.broken(now, &name, out),
             Received::Message { message: PeerMessage::CatalogPush(push), .. } => self.take(push),
             Received::Message { message: PeerMessage::Move(updates), .. } => {
-                self.control.moves().hear(updates);
+                self.control.moves().receive(updates);
             }
             Received::Message { from, message } => self.members.receive(now, &from, &message, out),
         }
--- a/src/control/moves.rs
+++ b/src/control/moves.rs
@@ -83,12 +83,12 @@
     }
 
     /// A request ended on its first attempt.
-    pub fn ended(&self, trial: Trial, ended: Ended) {
+    pub fn report_attempt(&self, trial: Trial, ended: Ended) {
         self.send(Message::Ended(trial, ended));
     }
 
     /// A peer's message came.
-    pub fn hear(&self, news: PeerNews) {
+    pub fn receive(&self, news: PeerNews) {
         self.send(Message::News(news));
     }
 
--- a/src/control/pollers.rs
+++ b/src/control/pollers.rs
@@ -91,7 +91,7 @@
         let url = &instance.url;
         let new = || Polled {
             url: url.clone(),
-            service: Service::new(url.clone(), LOAD_TIMEOUT).bounded(LOAD_BYTES),
+            service: Service::new(url.clone(), LOAD_TIMEOUT).with_response_limit(LOAD_BYTES),
         };
         (*key, kept.unwrap_or_else(new))
     };
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -53,7 +53,7 @@
     }
 
     /// The same, but an answer of more than `bytes` is lost.
-    pub fn bounded(self, bytes: usize) -> Service {
+    pub fn with_response_limit(self, bytes: usize) -> Service {
         Service { limit: bytes, ..self }
     }
 
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -84,7 +84,7 @@
             true => "the node is leaving: ask another for addresses",
             false => "the node is starting and has no catalogue or instance list yet",
         };
-        Err(problem::again(not_run(Kind::NotServing, detail), REFUSED_RETRY))
+        Err(problem::with_retry_after(not_run(Kind::NotServing, detail), REFUSED_RETRY))
     }
 }
 
--- a/src/traffic/auth.rs
+++ b/src/traffic/auth.rs
@@ -1,7 +1,7 @@
 //! Who calls: keys against the digests in the catalogue.
 
 use {
-    super::problem::{Kind, again, not_run},
+    super::problem::{Kind, not_run, with_retry_after},
     crate::key::{bearer, digest},
     bilberryfront_decide::{catalog::Catalog, id::AccountKey},
     bilberryfront_wire::problem::Problem,
@@ -24,7 +24,7 @@
 pub fn account(catalog: &Catalog, headers: &HeaderMap) -> Result<AccountKey> {
     if catalog.revision == 0 {
         let problem = not_run(Kind::NotServing, "the node has no catalogue yet");
-        return Err(again(problem, RETRY_AFTER));
+        return Err(with_retry_after(problem, RETRY_AFTER));
     }
     let key = bearer(headers)
         .ok_or_else(|| not_run(Kind::Unauthorized, "send `Authorization: Bearer KEY`"))?;
--- a/src/traffic/completions.rs
+++ b/src/traffic/completions.rs
@@ -191,7 +191,7 @@
         match driver.next().await {
             Some(Piece::Tokens(tokens)) => meter.tokens(tokens.len()),
             Some(Piece::Finish(reason)) => {
-                meter.whole();
+                meter.complete();
                 return addresses::json(&answer(driver, reason));
             }
             Some(Piece::Failed(problem)) => return failed(&problem, &mut meter),
@@ -240,7 +240,7 @@
 fn count(piece: &Piece, meter: &mut Meter) {
     match piece {
         Piece::Tokens(tokens) => meter.tokens(tokens.len()),
-        Piece::Finish(_) => meter.whole(),
+        Piece::Finish(_) => meter.complete(),
         Piece::Failed(problem) => meter.problem(problem),
     }
 }
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -28,7 +28,7 @@
     /// Time from the grant to the first token or the answer's head.
     pub first: Option<Duration>,
     /// Whether another runner will be asked for.
-    pub again: bool,
+    pub will_retry: bool,
     /// Set when an answer that came whole says that the runner failed.
     pub failed: bool,
     /// Time spent waiting for tokens after the first. A caller that reads slowly holds the stream
@@ -48,7 +48,7 @@
             grant,
             verdict: Verdict::Cancelled,
             first: None,
-            again: false,
+            will_retry: false,
             failed: false,
             waited: Duration::ZERO,
             trial,
@@ -61,11 +61,11 @@
     /// Counts a token.
     pub fn count(&mut self) {
         self.tokens += 1;
-        self.begun();
+        self.mark_started();
     }
 
     /// Notes that the runner has begun to answer.
-    pub fn begun(&mut self) {
+    pub fn mark_started(&mut self) {
         if self.first.is_none() {
             self.first = Some(self.since.elapsed());
             self.control.send(Event::Begun(self.grant.ticket));
@@ -92,14 +92,14 @@
             self.control.metrics().add(counter, 1);
         }
         if let Some((trial, ended)) = self.trial.take().zip(self.ended()) {
-            self.control.moves().ended(trial, ended);
+            self.control.moves().report_attempt(trial, ended);
         }
         self.control.done(Done {
             ticket: self.grant.ticket,
             verdict: self.verdict,
             first: self.first,
             tokens: self.tokens,
-            again: self.again,
+            again: self.will_retry,
         });
     }
 }
--- a/src/traffic/meter.rs
+++ b/src/traffic/meter.rs
@@ -31,7 +31,7 @@
     }
 
     /// The whole answer went to the caller.
-    pub fn whole(&mut self) {
+    pub fn complete(&mut self) {
         self.end(Counter::Completed);
     }
 
--- a/src/traffic/problem.rs
+++ b/src/traffic/problem.rs
@@ -134,7 +134,7 @@
 }
 
 /// The same problem, with the time after which asking again may help.
-pub fn again(mut problem: Problem, after: Duration) -> Problem {
+pub fn with_retry_after(mut problem: Problem, after: Duration) -> Problem {
     problem.retry_after = Some(whole_seconds(after));
     problem
 }
@@ -166,7 +166,7 @@
     };
     let problem = not_run(kind, detail);
     match refuse.retry {
-        Some(after) => again(problem, after),
+        Some(after) => with_retry_after(problem, after),
         None => problem,
     }
 }
--- a/src/traffic/services.rs
+++ b/src/traffic/services.rs
@@ -41,7 +41,7 @@
     let mut meter = Meter::start(traffic.control.metrics());
     match routed(traffic, request).await {
         Ok(reply) => {
-            meter.whole();
+            meter.complete();
             response(reply)
         }
         Err(problem) => {
--- a/src/traffic/services/once.rs
+++ b/src/traffic/services/once.rs
@@ -84,7 +84,7 @@
         }
     }
     let problem = not_run(Kind::NoRunner, "no runner took a connection");
-    Err(problem::again(problem, RETRY_AFTER))
+    Err(problem::with_retry_after(problem, RETRY_AFTER))
 }
 
 /// Answers a call that no runner can take now. An earlier request with its key may have run, and
@@ -156,12 +156,12 @@
     if !permit.begin() {
         services.intents.settle(permit, Outcome::NotRun).await;
         let problem = not_run(Kind::NoRunner, "the node was paused for too long to send safely");
-        return Attempt::Answered(Err(problem::again(problem, RETRY_AFTER)));
+        return Attempt::Answered(Err(problem::with_retry_after(problem, RETRY_AFTER)));
     }
     let wait = Duration::from_millis(job.limits.call_ms.into());
     match services.sender.send(job.outgoing(&lease.grant.url), wait).await {
         Sent::Answer(reply) => {
-            lease.begun();
+            lease.mark_started();
             lease.verdict = Verdict::Ok;
             lease.failed = reply.status.is_server_error();
             let kept = answer::keep(reply.status.as_u16(), &reply.headers, &reply.body);
@@ -200,15 +200,15 @@
         }
         Claim::NotRun(why) => {
             let detail = format!("send it again with the same key: {why}");
-            Err(problem::again(not_run(Kind::StoreDown, detail), RETRY_AFTER))
+            Err(problem::with_retry_after(not_run(Kind::StoreDown, detail), RETRY_AFTER))
         }
         Claim::Busy(_) => {
             let problem = unknown("the same call is under way; ask again with the same key");
-            Err(problem::again(problem, RETRY_AFTER))
+            Err(problem::with_retry_after(problem, RETRY_AFTER))
         }
         Claim::Unknown => {
             let problem = unknown("the table gave no answer; ask again with the same key");
-            Err(problem::again(problem, RETRY_AFTER))
+            Err(problem::with_retry_after(problem, RETRY_AFTER))
         }
         Claim::Granted(_) => unreachable!("a claim that is ours is sent"),
     }
--- a/src/traffic/services/repeat.rs
+++ b/src/traffic/services/repeat.rs
@@ -53,7 +53,7 @@
         let sent = services.sender.send(job.outgoing(&lease.grant.url), wait).await;
         lease.verdict = match sent {
             Sent::Answer(reply) if reply.status != StatusCode::SERVICE_UNAVAILABLE => {
-                lease.begun();
+                lease.mark_started();
                 lease.verdict = Verdict::Ok;
                 lease.failed = reply.status.is_server_error();
                 return Ok(reply);
@@ -61,12 +61,12 @@
             Sent::Answer(_) => Verdict::Rejected,
             Sent::NotSent(_) | Sent::Unknown(_) => Verdict::Broken,
         };
-        lease.again = tried < TRIES;
+        lease.will_retry = tried < TRIES;
         avoid = Some(lease.grant.runner);
         purpose = Purpose::Again;
     }
     let problem = not_run(Kind::NoRunner, format!("{TRIES} runners failed to answer"));
-    Err(unknown(problem::again(problem, RETRY_AFTER)))
+    Err(unknown(problem::with_retry_after(problem, RETRY_AFTER)))
 }
 
 /// Time for one try out of what is left for the call: half, or all for the last try.
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -250,14 +250,14 @@
             Failure::Unsent => Verdict::Broken,
             Failure::Refused(status) => {
                 lease.verdict = Verdict::Rejected;
-                lease.again = false;
+                lease.will_retry = false;
                 self.generation.lost();
                 let detail = format!("the runner answered {status}");
                 return Some(Piece::Failed(unknown(not_run(Kind::RunnerRefused, detail))));
             }
         };
         lease.verdict = verdict;
-        lease.again = false;
+        lease.will_retry = false;
         self.avoid = Some(lease.grant.runner);
         if let Some(reason) = self.generation.lost() {
             return Some(Piece::Finish(reason));
@@ -268,9 +268,9 @@
         }
         if !self.generation.may_retry() {
             let problem = not_run(Kind::NoRunner, "too many runners failed this request");
-            return Some(self.give_up(problem::again(problem, RESUME_AFTER)));
+            return Some(self.give_up(problem::with_retry_after(problem, RESUME_AFTER)));
         }
-        lease.again = true;
+        lease.will_retry = true;
         // The first of two losses in a row: the caller has waited since then.
         self.lost.get_or_insert_with(Instant::now);
         None
@@ -312,7 +312,7 @@
 
 fn cut(problem: &Problem) -> Problem {
     let after = problem.retry_after.map_or(RESUME_AFTER, |s| Duration::from_secs(s.into()));
-    problem::again(not_run(Kind::Cut, problem.detail.clone()), after)
+    problem::with_retry_after(not_run(Kind::Cut, problem.detail.clone()), after)
 }
 
 fn unknown(problem: Problem) -> Problem {
--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -320,6 +320,6 @@
     let router = Router::new().route("/load", get(endless));
     let handle = Handle::start("127.0.0.1:0".parse().unwrap(), router, Arc::default()).unwrap();
     let service = Service::new(handle.url().into(), Duration::from_secs(10));
-    let answer = service.bounded(1 << 16).get::<LoadReport>("/load").await;
+    let answer = service.with_response_limit(1 << 16).get::<LoadReport>("/load").await;
     assert!(matches!(answer, Err(PlatformError::Lost(why)) if why.contains("length")));
 }
