--- a/examples/measure/control/state.rs
+++ b/examples/measure/control/state.rs
@@ -100,10 +100,10 @@
     for (runners, nodes) in SIZES {
         let list = list(runners, nodes);
         let (mut core, members, published) = (core(&list), members(&list), Published::default());
-        published.core(&core);
+        published.set_core(&core);
         let tick = micros(50, || members_tick(&members, &published));
-        let usage = micros(50, || published.usage(core.usage()));
-        let whole = micros(50, || published.core(&core));
+        let usage = micros(50, || published.set_usage(core.usage()));
+        let whole = micros(50, || published.set_core(&core));
         let peers = micros(50, || peers_tick(&members, &mut core));
         let addresses = published.load().addresses.clone();
         let answer = Addresses { addresses, ttl_seconds: 10 };
@@ -119,7 +119,7 @@
 fn members_tick(members: &Members, published: &Published) {
     let addresses = members.addresses().into_iter();
     let addresses = addresses.map(|a| NodeAddress { url: a.url, domain: a.domain }).collect();
-    published.members(addresses, members.nodes().collect(), DrainState::Serving);
+    published.set_members(addresses, members.nodes().collect(), DrainState::Serving);
 }
 
 /// What the membership tells the core at each tick.
