--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread, which owns all control state, and the handle through which traffic asks it.
+//! The control thread, which owns all control state, and the handle that other threads use to send
+//! it events and requests.
 
 pub mod membership;
 pub mod moves;
@@ -32,17 +33,17 @@
     view::{Published, View},
 };
 
-/// A result whose error is the core's refusal.
+/// A result whose error is the core's rejection.
 pub type Result<T> = std::result::Result<T, Refuse>;
 
-/// Events taken in one go before actions are carried out.
-const BATCH: usize = 64;
+/// Maximum number of messages processed before their actions are executed.
+const MAX_BATCH: usize = 64;
 
-/// What the control thread is sent.
+/// A message to the control thread.
 pub enum Message {
-    /// A request wants a runner, and waits for the answer.
+    /// A request asks for a runner and waits for the answer.
     Ask(Ask, oneshot::Sender<Result<Grant>>),
-    /// Anything else that happened.
+    /// Any other event.
     Event(Event),
 }
 
@@ -57,87 +58,87 @@
 }
 
 impl Control {
-    /// A handle, and the receiver that [`drive`] needs.
+    /// Returns a handle, and the receiver for [`drive`].
     pub fn new(published: Published) -> (Control, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let (metrics, moves) = (Metrics::silent(), Moves::default());
         (Control { sender, published, tickets: Arc::default(), metrics, moves }, receiver)
     }
 
-    /// A handle that counts what is done through it.
+    /// Returns the handle with the metrics that its operations are counted in.
     pub fn with_metrics(self, metrics: Metrics) -> Control {
         Control { metrics, ..self }
     }
 
-    /// Where traffic is counted.
+    /// Returns the metrics in which traffic is counted.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The same handle, with version moves that are decided by the task behind `moves`.
+    /// Returns the handle with the given handle to the task that decides version moves.
     pub fn with_moves(self, moves: Moves) -> Control {
         Control { moves, ..self }
     }
 
-    /// The task that decides version moves.
+    /// Returns the handle to the task that decides version moves.
     pub fn moves(&self) -> &Moves {
         &self.moves
     }
 
-    /// What the control thread has published last.
+    /// Returns the view that the control thread published last.
     pub fn view(&self) -> Arc<View> {
         self.published.load()
     }
 
-    /// A ticket that was never used before in this node's life.
+    /// Returns a ticket that is unique within this run of the node.
     pub fn next_ticket(&self) -> Ticket {
         Ticket(self.tickets.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Tells the core what happened.
+    /// Sends an event to the core.
     pub fn send(&self, event: Event) {
-        // The receiver goes away only when the process ends.
+        // The receiver is dropped only when the process exits.
         _ = self.sender.send(Message::Event(event));
     }
 
-    /// Takes a catalogue, unless it has as new a one.
-    pub fn apply_catalog(&self, numbered: CatalogueRevision) {
-        let CatalogueRevision { revision, catalogue } = numbered;
+    /// Sends a catalogue to the core, which ignores it unless it is newer than the current one.
+    pub fn apply_catalog(&self, latest: CatalogueRevision) {
+        let CatalogueRevision { revision, catalogue } = latest;
         self.send(Event::Catalog { revision, doc: Arc::new(catalogue) });
     }
 
-    /// Tells the core how a granted request ended.
+    /// Reports the end of a granted request to the core.
     pub fn done(&self, done: Done) {
         self.send(Event::Done(done));
     }
 
-    /// Waits for a runner. When the returned future is dropped early, the core forgets the request.
+    /// Waits for a runner. If the returned future is dropped early, the request is withdrawn.
     pub async fn ask(&self, ask: Ask) -> Result<Grant> {
         let ticket = ask.ticket;
-        let (answer, wait) = oneshot::channel();
-        let gone = Refuse { ticket, reason: Reason::NoRunner, retry: None };
-        if self.sender.send(Message::Ask(ask, answer)).is_err() {
-            return Err(gone);
+        let (sender, receiver) = oneshot::channel();
+        let stopped = Refuse { ticket, reason: Reason::NoRunner, retry: None };
+        if self.sender.send(Message::Ask(ask, sender)).is_err() {
+            return Err(stopped);
         }
-        let mut forget = Forget { control: self, ticket, armed: true };
-        let outcome = wait.await.unwrap_or(Err(gone));
-        forget.armed = false;
-        if outcome.as_ref().is_err_and(|refuse| refuse.reason == Reason::NoBudget) {
+        let mut guard = WithdrawOnDrop { control: self, ticket, armed: true };
+        let result = receiver.await.unwrap_or(Err(stopped));
+        guard.armed = false;
+        if result.as_ref().is_err_and(|refuse| refuse.reason == Reason::NoBudget) {
             self.metrics.add(Counter::BudgetEmpty, 1);
         }
-        outcome
+        result
     }
 }
 
-/// Takes a request back when its caller leaves while it waits. Without it the core would grant a
-/// runner's slot to nobody and never get it back.
-struct Forget<'a> {
+/// Withdraws a waiting request when its caller disconnects. Without it the core would grant a slot of
+/// a runner that no one releases.
+struct WithdrawOnDrop<'a> {
     control: &'a Control,
     ticket: Ticket,
     armed: bool,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         if self.armed {
             self.control.send(Event::Forget(self.ticket));
@@ -145,20 +146,20 @@
     }
 }
 
-/// Runs the core on the current thread until every handle is gone.
+/// Runs the core on the current thread until every [`Control`] handle is dropped.
 pub async fn drive(
     mut core: Core,
     mut receiver: mpsc::UnboundedReceiver<Message>,
     published: Published,
 ) {
-    let mut asks = FxHashMap::default();
+    let mut waiting = FxHashMap::default();
     let mut actions = Vec::new();
-    let mut batch = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH);
     let mut ticks = interval(bilberryfront_decide::core::TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            count = receiver.recv_many(&mut batch, BATCH) => {
+            count = receiver.recv_many(&mut batch, MAX_BATCH) => {
                 if count == 0 {
                     return;
                 }
@@ -173,26 +174,26 @@
         for message in batch.drain(..) {
             let event = match message {
                 Message::Ask(ask, answer) => {
-                    asks.insert(ask.ticket, answer);
+                    waiting.insert(ask.ticket, answer);
                     Event::Ask(ask)
                 }
                 Message::Event(event) => event,
             };
             if let Event::Forget(ticket) = event {
-                asks.remove(&ticket);
+                waiting.remove(&ticket);
             }
             changed |= matches!(event, Event::Catalog { .. } | Event::Instances(_));
             core.step(now, event, &mut actions);
         }
         while !actions.is_empty() {
             for action in mem::take(&mut actions) {
-                if let Some(done) = carry_out(action, &mut asks) {
+                if let Some(done) = execute(action, &mut waiting) {
                     core.step(now, Event::Done(done), &mut actions);
                 }
             }
         }
         if core.catalog().revision > revision {
-            log::info!(revision = core.catalog().revision; "a catalogue is in force");
+            log::info!(revision = core.catalog().revision; "catalogue revision applied");
         }
         if changed {
             published.set_core(&core);
@@ -200,19 +201,19 @@
     }
 }
 
-type Asks = FxHashMap<Ticket, oneshot::Sender<Result<Grant>>>;
+type Waiting = FxHashMap<Ticket, oneshot::Sender<Result<Grant>>>;
 
-/// Delivers an action to its waiter. If the waiter is gone, a grant is returned, or the runner's
-/// slot would leak.
-fn carry_out(action: Action, asks: &mut Asks) -> Option<Done> {
+/// Sends an action to the request that waits for it. If that request was dropped, returns a
+/// cancellation of the grant: without it the runner's slot would leak.
+fn execute(action: Action, waiting: &mut Waiting) -> Option<Done> {
     match action {
         Action::Grant(grant) => {
             let ticket = grant.ticket;
-            let taken = asks.remove(&ticket).is_some_and(|a| a.send(Ok(grant)).is_ok());
-            (!taken).then(|| Done::cancelled(ticket))
+            let is_delivered = waiting.remove(&ticket).is_some_and(|a| a.send(Ok(grant)).is_ok());
+            (!is_delivered).then(|| Done::cancelled(ticket))
         }
         Action::Refuse(refuse) => {
-            if let Some(answer) = asks.remove(&refuse.ticket) {
+            if let Some(answer) = waiting.remove(&refuse.ticket) {
                 _ = answer.send(Err(refuse));
             }
             None
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -1,5 +1,5 @@
-//! The task on the control thread that keeps the membership: it carries messages between the pure
-//! state machine and the peer face, and drives this node's own leaving.
+//! The membership task of the control thread: passes messages between the membership state machine and
+//! the peer network, and controls this node's own drain.
 
 use {
     super::{
@@ -38,17 +38,17 @@
     },
 };
 
-/// Time between two looks at what is due.
+/// Interval of the membership's timer.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Where this node is in its leaving, for those who want it to leave and wait for it.
+/// Requests this node to leave, and reports when it has left.
 #[derive(Clone)]
 pub struct Leaving {
-    /// Set to make the node leave.
+    /// Set to request that the node leaves.
     pub requested: watch::Sender<bool>,
-    /// Set when the node is idle and has announced its exit.
+    /// Set when the node is idle and has announced to its peers that it leaves.
     pub completed: watch::Sender<bool>,
-    /// Requests and streams under way.
+    /// Number of requests and streams in flight.
     pub in_flight: Arc<AtomicUsize>,
 }
 
@@ -63,30 +63,30 @@
 }
 
 impl Leaving {
-    /// Makes the node leave, and waits until nothing is under way any more.
+    /// Requests that the node leaves, and waits until it has left.
     pub async fn leave(&self) {
         self.requested.send_replace(true);
         let mut completed = self.completed.subscribe();
-        // The sender lives in this very struct.
+        // Can't fail: `self` holds the sender.
         _ = completed.wait_for(|completed| *completed).await;
     }
 }
 
-/// The membership of one node.
+/// The membership task of a node.
 pub struct Membership<P> {
-    /// The pure state machine.
+    /// The state machine of the membership.
     pub members: Members,
-    /// The peer face.
+    /// The network to other nodes.
     pub net: P,
     /// Name of this node.
     pub name: CompactString,
-    /// This node's own leaving.
+    /// This node's own drain.
     pub drain: Drain,
-    /// Who wants it to leave.
+    /// Requests to leave.
     pub leaving: Leaving,
     /// The control thread.
     pub control: Control,
-    /// Where the view is published.
+    /// The published view.
     pub published: Published,
 }
 
@@ -98,32 +98,32 @@
         mut lists: watch::Receiver<Option<InstanceList>>,
     ) {
         let mut ticks = interval(TICK);
-        while !self.finished() {
+        while !self.is_finished() {
             let mut out = Vec::new();
             tokio::select! {
                 Some(received) = received.recv() => self.receive(received, &mut out),
                 Ok(()) = lists.changed() => {
                     let list = lists.borrow_and_update().clone();
-                    list.iter().for_each(|l| self.list(l));
+                    list.iter().for_each(|l| self.apply_list(l));
                 }
                 _ = ticks.tick() => self.tick(&mut out),
             }
-            self.carry_out(out);
+            self.execute(out);
         }
         let mut out = Vec::new();
         self.members.send_leave(&mut out);
-        self.carry_out(out);
+        self.execute(out);
         self.net.close().await;
         self.leaving.completed.send_replace(true);
     }
 
-    /// Whether this node has left. It looks at the requests under way only after its refusing has
-    /// been published: else a request that comes as the time lapses would see the node as serving,
-    /// be taken in, and be cut by the exit.
-    fn finished(&mut self) -> bool {
-        let refuses = self.published.load().drain == DrainState::Refusing;
+    /// Returns whether this node may exit. The requests in flight are checked only after the view with
+    /// [`DrainState::Refusing`] has been published: otherwise a request that arrives at the end of the
+    /// drain period could still see the node as serving, be accepted, and be aborted by the exit.
+    fn is_finished(&mut self) -> bool {
+        let is_refusing = self.published.load().drain == DrainState::Refusing;
         let in_flight = self.leaving.in_flight.load(Ordering::SeqCst);
-        refuses && self.drain.finished(Instant::now(), in_flight)
+        is_refusing && self.drain.finished(Instant::now(), in_flight)
     }
 
     fn tick(&mut self, out: &mut Vec<Output>) {
@@ -138,24 +138,24 @@
         self.members.set_revision(view.catalog.revision, out);
         self.members.set_usage(usage(&view));
         self.members.tick(now, out);
-        self.control.send(Event::Peers(self.peers(&view.catalog, now)));
+        self.control.send(Event::Peers(self.peer_use(&view.catalog, now)));
         self.publish();
     }
 
     fn leave(&mut self, now: Instant) {
-        log::info!("leaving: out of the address answers, still serving");
+        log::info!("draining: removed from the published addresses, still serving requests");
         self.drain.leave(now);
         self.members.drain(now);
     }
 
-    fn list(&mut self, list: &InstanceList) {
+    fn apply_list(&mut self, list: &InstanceList) {
         let now = Instant::now();
         self.members.list(now, list);
         self.published.set_has_instances();
-        let listed_leaving = list.instances.iter().any(|i| {
+        let is_listed_leaving = list.instances.iter().any(|i| {
             i.kind == InstanceKind::Node && i.name == self.name && i.state == InstanceState::Leaving
         });
-        if listed_leaving && self.drain.listed() {
+        if is_listed_leaving && self.drain.listed() {
             self.leave(now);
         }
     }
@@ -164,7 +164,9 @@
         let now = Instant::now();
         match received {
             Received::Broken(name) => self.members.broken(now, &name, out),
-            Received::Message { message: PeerMessage::CatalogPush(push), .. } => self.take(push),
+            Received::Message { message: PeerMessage::CatalogPush(push), .. } => {
+                self.apply_push(push)
+            }
             Received::Message { message: PeerMessage::Move(updates), .. } => {
                 self.control.moves().receive(updates);
             }
@@ -172,28 +174,30 @@
         }
     }
 
-    /// Takes a catalogue from another node, as sound as if it came from the table: it was checked
-    /// when it was accepted, and is checked again, since a peer of another version may allow more.
-    fn take(&self, push: CatalogPush) {
+    /// Applies a catalogue from another node. It was checked when it was accepted and is checked
+    /// again, because a peer that runs another version may accept more.
+    fn apply_push(&self, push: CatalogPush) {
         let CatalogPush { revision, doc } = push;
         match serde_json::from_str::<CatalogDoc>(&doc) {
             Ok(catalogue) if catalogue.check().is_empty() => {
                 self.control.apply_catalog(CatalogueRevision { revision, catalogue });
             }
-            _ => log::warn!("catalogue {revision} of a peer can't be read; waiting for the table"),
+            _ => log::warn!(
+                "catalogue revision {revision} from a peer is invalid; waiting for the table"
+            ),
         }
     }
 
-    fn carry_out(&mut self, out: Vec<Output>) {
+    fn execute(&mut self, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(&to, &message),
                 Output::PushCatalog(target) => {
                     let catalog = self.published.load().catalog.clone();
-                    self.send(&[target], &push(&catalog));
+                    self.send(&[target], &catalog_push(&catalog));
                 }
                 Output::Changed { name, from, to } => {
-                    log::info!("node {name}: {from:?} to {to:?}");
+                    log::info!("node {name}: state changed from {from:?} to {to:?}");
                 }
                 Output::Hint(_) => {}
             }
@@ -202,11 +206,11 @@
 
     fn send(&self, to: &[Target], message: &PeerMessage) {
         if let Err(error) = self.net.send(to, message) {
-            log::warn!("a message to peers can't be sent: {error}");
+            log::warn!("cannot send a message to peers: {error}");
         }
     }
 
-    fn peers(&self, catalog: &Catalog, now: Instant) -> PeerUse {
+    fn peer_use(&self, catalog: &Catalog, now: Instant) -> PeerUse {
         let usage = self.members.usage(now);
         let keyed =
             |u: &Usage| Some((catalog.entry(&u.entry)?, catalog.account(&u.account)?, u.running));
@@ -222,7 +226,7 @@
     }
 }
 
-fn push(catalog: &Catalog) -> PeerMessage {
+fn catalog_push(catalog: &Catalog) -> PeerMessage {
     let revision: Revision = catalog.revision;
     let doc = serde_json::to_string(&catalog.doc()).expect("a catalogue always serializes");
     PeerMessage::CatalogPush(CatalogPush { revision, doc })
--- a/src/control/moves.rs
+++ b/src/control/moves.rs
@@ -1,5 +1,5 @@
-//! Version moves: the task on the control thread that carries the pure mover's wishes to the table
-//! and the peers, and the handle by which traffic, peers and operators reach it.
+//! Version moves: the task on the control thread that executes the outputs of the mover state machine
+//! with the table and the peers, and the handle that traffic, peers and operators use to reach it.
 
 mod task;
 
@@ -17,105 +17,106 @@
 
 /// Messages to the task.
 pub enum Message {
-    /// A request ended on its first attempt.
-    Ended(Trial, Ended),
-    /// A peer's message came.
-    News(PeerNews),
+    /// The first attempt of a request ended.
+    AttemptEnded(Trial, AttemptResult),
+    /// A message from a peer.
+    Peer(PeerNews),
     /// An operator starts a move.
     Start(Start, oneshot::Sender<Result<MoveId>>),
-    /// An operator takes an entry's move back.
+    /// An operator rolls back the move of an entry.
     Undo(CompactString, oneshot::Sender<Result<MoveId>>),
-    /// An operator wants to know how all moves stand.
+    /// An operator requests the status of all moves.
     List(oneshot::Sender<Vec<Status>>),
 }
 
-/// How a request was given to its version; kept with its first attempt.
+/// How the version of a request was chosen; kept until its first attempt ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trial {
     /// Catalogue entry.
     pub entry: CompactString,
-    /// Class and size of prompt, or path: what may fail alone.
+    /// Class and size of the prompt, or method and path: kinds of request that are compared
+    /// separately, because a version may fail for some of them only.
     pub route: CompactString,
     /// How the version was chosen.
     pub choice: Choice,
-    /// Any number that tells accounts apart.
+    /// Number that distinguishes accounts.
     pub account: u64,
 }
 
-/// How a first attempt ended.
+/// Result of a first attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
-    /// Whether it ended well.
+pub struct AttemptResult {
+    /// Whether it succeeded.
     pub ok: bool,
-    /// Time to the first token or the answer's head.
+    /// Time to the first token or to the head of the response.
     pub first: Option<Duration>,
     /// Mean time between tokens.
     pub pace: Option<Duration>,
-    /// Any number that tells runners apart.
+    /// Number that distinguishes runners.
     pub runner: u64,
 }
 
 impl Trial {
-    fn sample(&self, ended: &Ended) -> Sample<'_> {
+    fn sample(&self, result: &AttemptResult) -> Sample<'_> {
         Sample {
             choice: self.choice,
             route: &self.route,
-            ok: ended.ok,
-            first: ended.first,
-            pace: ended.pace,
-            runner: ended.runner,
+            ok: result.ok,
+            first: result.first,
+            pace: result.pace,
+            runner: result.runner,
             account: self.account,
         }
     }
 }
 
-/// A handle to the task. The default one reaches nobody: no move is ever under way.
+/// A handle to the task. The default handle is connected to no task and reports no moves.
 #[derive(Clone, Default)]
 pub struct Moves {
     sender: Option<mpsc::UnboundedSender<Message>>,
 }
 
 impl Moves {
-    /// A handle, and the receiver that [`Task`] needs.
+    /// Returns a handle, and the receiver for [`Task`].
     pub fn new() -> (Moves, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Moves { sender: Some(sender) }, receiver)
     }
 
-    /// A request ended on its first attempt.
-    pub fn report_attempt(&self, trial: Trial, ended: Ended) {
-        self.send(Message::Ended(trial, ended));
+    /// Reports the result of a request's first attempt.
+    pub fn report_attempt(&self, trial: Trial, result: AttemptResult) {
+        self.send(Message::AttemptEnded(trial, result));
     }
 
-    /// A peer's message came.
-    pub fn receive(&self, news: PeerNews) {
-        self.send(Message::News(news));
+    /// Passes on a message from a peer.
+    pub fn receive(&self, message: PeerNews) {
+        self.send(Message::Peer(message));
     }
 
-    /// Starts a move; answers when the table has it, or will not.
+    /// Starts a move; returns when the table has recorded or rejected it.
     pub async fn start(&self, start: Start) -> Result<MoveId> {
-        let (answer, wait) = oneshot::channel();
-        self.send(Message::Start(start, answer));
-        wait.await.unwrap_or(Err(MoveError::Table))
+        let (sender, receiver) = oneshot::channel();
+        self.send(Message::Start(start, sender));
+        receiver.await.unwrap_or(Err(MoveError::Table))
     }
 
-    /// Takes an entry's move back: at this node at once, everywhere within seconds.
+    /// Rolls back the move of an entry: immediately on this node, within seconds on all others.
     pub async fn undo(&self, entry: CompactString) -> Result<MoveId> {
-        let (answer, wait) = oneshot::channel();
-        self.send(Message::Undo(entry, answer));
-        wait.await.unwrap_or(Err(MoveError::Table))
+        let (sender, receiver) = oneshot::channel();
+        self.send(Message::Undo(entry, sender));
+        receiver.await.unwrap_or(Err(MoveError::Table))
     }
 
-    /// How the latest move of every entry stands.
+    /// Returns the status of the latest move of every entry.
     pub async fn list(&self) -> Vec<Status> {
-        let (answer, wait) = oneshot::channel();
-        self.send(Message::List(answer));
-        wait.await.unwrap_or_default()
+        let (sender, receiver) = oneshot::channel();
+        self.send(Message::List(sender));
+        receiver.await.unwrap_or_default()
     }
 
     fn send(&self, message: Message) {
         if let Some(sender) = &self.sender {
-            // The receiver goes away only when the process ends.
+            // The receiver is dropped only when the process exits.
             _ = sender.send(message);
         }
     }
--- a/src/control/moves/task.rs
+++ b/src/control/moves/task.rs
@@ -1,4 +1,4 @@
-//! The task that drives the mover.
+//! The task that runs the mover state machine.
 
 use {
     super::{Message, Result},
@@ -28,37 +28,37 @@
     },
 };
 
-/// Time between two looks at what is due.
+/// Interval of the mover's timer.
 const TICK: Duration = Duration::from_millis(50);
-/// Time between two counts of runners.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
-/// Who changes the catalogue when a move has settled, in its history.
-const WHO: &str = "version move";
+/// Interval between two counts of runners.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
+/// Author of the catalogue change at the end of a move, in the catalogue's history.
+const AUTHOR: &str = "version move";
 
-/// What a call of the table came to.
-enum Answer {
+/// Result of a call to the table; `None` if it failed.
+enum TableResult {
     Rows(u64, Option<Rows>),
     Committed(u64, Option<Committed>),
     Adopted(Option<CatalogueRevision>),
 }
 
-/// The task that drives the mover of one node.
+/// The task that runs the mover of one node.
 pub struct Task<T, P> {
     mover: Mover,
     table: T,
     net: P,
     control: Control,
     published: Published,
-    answers: (mpsc::UnboundedSender<Answer>, mpsc::UnboundedReceiver<Answer>),
-    starts: FxHashMap<MoveId, oneshot::Sender<Result<MoveId>>>,
+    results: (mpsc::UnboundedSender<TableResult>, mpsc::UnboundedReceiver<TableResult>),
+    pending_starts: FxHashMap<MoveId, oneshot::Sender<Result<MoveId>>>,
     standings: BTreeMap<CompactString, Standing>,
     revision: Revision,
-    counted: Option<Instant>,
-    adopting: bool,
+    counted_at: Option<Instant>,
+    is_adopting: bool,
 }
 
 impl<T: Table, P: Peers> Task<T, P> {
-    /// A task that knows of no move yet.
+    /// Creates a task without any moves.
     pub fn new(
         mover: Mover,
         table: T,
@@ -72,39 +72,39 @@
             net,
             control,
             published,
-            answers: mpsc::unbounded_channel(),
-            starts: FxHashMap::default(),
+            results: mpsc::unbounded_channel(),
+            pending_starts: FxHashMap::default(),
             standings: BTreeMap::new(),
             revision: 0,
-            counted: None,
-            adopting: false,
+            counted_at: None,
+            is_adopting: false,
         }
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until every [`super::Moves`] handle is dropped.
     pub async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let mut ticks = interval(TICK);
         loop {
             tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Some(answer) = self.answers.1.recv() => self.answer(answer),
+                Some(result) = self.results.1.recv() => self.handle_result(result),
                 _ = ticks.tick() => self.tick(),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = Instant::now();
         match message {
-            Message::Ended(trial, ended) => {
-                self.mover.observe(now, &trial.entry, &trial.sample(&ended));
+            Message::AttemptEnded(trial, result) => {
+                self.mover.observe(now, &trial.entry, &trial.sample(&result));
             }
-            Message::News(news) => self.mover.hear(now, &news),
+            Message::Peer(message) => self.mover.hear(now, &message),
             Message::Start(start, answer) => match self.mover.start(now, &start) {
-                Ok(id) => _ = self.starts.insert(id, answer),
+                Ok(id) => _ = self.pending_starts.insert(id, answer),
                 Err(error) => _ = answer.send(Err(error)),
             },
             Message::Undo(entry, answer) => _ = answer.send(self.mover.undo(now, &entry)),
@@ -117,16 +117,16 @@
         }
     }
 
-    fn answer(&mut self, answer: Answer) {
+    fn handle_result(&mut self, result: TableResult) {
         let now = Instant::now();
-        match answer {
-            Answer::Rows(number, rows) => self.mover.rows(now, number, rows.as_ref()),
-            Answer::Committed(number, committed) => {
+        match result {
+            TableResult::Rows(number, rows) => self.mover.rows(now, number, rows.as_ref()),
+            TableResult::Committed(number, committed) => {
                 self.mover.committed(now, number, committed.as_ref());
             }
-            Answer::Adopted(numbered) => {
-                self.adopting = false;
-                numbered.into_iter().for_each(|n| self.control.apply_catalog(n));
+            TableResult::Adopted(catalogue) => {
+                self.is_adopting = false;
+                catalogue.into_iter().for_each(|c| self.control.apply_catalog(c));
             }
         }
     }
@@ -134,24 +134,25 @@
     fn tick(&mut self) {
         let now = Instant::now();
         let view = self.published.load();
-        self.learn(now, &view);
+        self.update_mover(now, &view);
         let mut out = Vec::new();
         self.mover.tick(now, &mut out);
-        out.into_iter().for_each(|output| self.carry_out(output, &view));
+        out.into_iter().for_each(|output| self.execute(output, &view));
         self.publish(now, &view);
     }
 
-    fn learn(&mut self, now: Instant, view: &View) {
+    /// Passes the catalogue, the peers and the runner counts to the mover.
+    fn update_mover(&mut self, now: Instant, view: &View) {
         if view.catalog.revision > self.revision {
             self.revision = view.catalog.revision;
             for entry in view.catalog.entries.values() {
                 self.mover.entry(now, &entry.name, &entry.version);
             }
         }
-        if self.counted.is_some_and(|at| now < at + COUNT_EVERY) {
+        if self.counted_at.is_some_and(|at| now < at + COUNT_INTERVAL) {
             return;
         }
-        self.counted = Some(now);
+        self.counted_at = Some(now);
         self.mover.peers(&peers(view));
         for entry in view.catalog.entries.values() {
             let Some(status) = self.mover.status(now, &entry.name) else { continue };
@@ -161,56 +162,57 @@
             };
             let (old, new) = (count(&status.moved.from), count(&status.moved.to));
             self.mover.fleet(&entry.name, old, new);
-            self.note(&entry.name, status.standing);
+            self.log_standing(&entry.name, status.standing);
         }
     }
 
-    /// Logs a change of an entry's move.
-    fn note(&mut self, entry: &CompactString, standing: Standing) {
+    /// Logs the state of an entry's move if it changed.
+    fn log_standing(&mut self, entry: &CompactString, standing: Standing) {
         if self.standings.get(entry) != Some(&standing) {
-            log::info!("move of {entry}: {standing:?}");
+            log::info!("version move of {entry}: state is now {standing:?}");
             self.standings.insert(entry.clone(), standing);
         }
     }
 
-    fn carry_out(&mut self, output: Output, view: &View) {
-        let (table, sender) = (self.table.clone(), self.answers.0.clone());
+    fn execute(&mut self, output: Output, view: &View) {
+        let (table, sender) = (self.table.clone(), self.results.0.clone());
         match output {
             Output::Read { number, read } => {
                 tokio::spawn(async move {
-                    _ = sender.send(Answer::Rows(number, table.read(&read).await.ok()));
+                    _ = sender.send(TableResult::Rows(number, table.read(&read).await.ok()));
                 });
             }
             Output::Commit { number, commit } => {
                 tokio::spawn(async move {
-                    _ = sender.send(Answer::Committed(number, table.commit(&commit).await.ok()));
+                    _ = sender
+                        .send(TableResult::Committed(number, table.commit(&commit).await.ok()));
                 });
             }
-            Output::Tell(news) => self.tell(view, news),
-            Output::Adopt { entry, version } if !mem::replace(&mut self.adopting, true) => {
+            Output::Tell(message) => self.send_to_peers(view, message),
+            Output::Adopt { entry, version } if !mem::replace(&mut self.is_adopting, true) => {
                 tokio::spawn(async move {
                     let store = Store::new(table);
-                    _ = sender.send(Answer::Adopted(adopt(&store, &entry, version).await));
+                    _ = sender.send(TableResult::Adopted(adopt(&store, &entry, version).await));
                 });
             }
             Output::Adopt { .. } => {}
             Output::Started { id, result } => {
-                if let Some(answer) = self.starts.remove(&id) {
+                if let Some(answer) = self.pending_starts.remove(&id) {
                     _ = answer.send(result.map(|()| id));
                 }
             }
         }
     }
 
-    fn tell(&self, view: &View, news: PeerNews) {
+    fn send_to_peers(&self, view: &View, message: PeerNews) {
         let nodes = view.nodes.iter().filter(|n| n.state != NodeState::Forgotten);
         let target = |n: &Node| {
             let address = n.location.as_ref()?.peer.clone();
             Some(Target { name: n.name.clone(), address })
         };
         let targets: Vec<Target> = nodes.filter_map(target).collect();
-        if let Err(error) = self.net.send(&targets, &PeerMessage::Move(news)) {
-            log::warn!("news of a move can't be sent: {error}");
+        if let Err(error) = self.net.send(&targets, &PeerMessage::Move(message)) {
+            log::warn!("cannot send the state of a version move to peers: {error}");
         }
     }
 
@@ -225,15 +227,15 @@
     }
 }
 
-/// Every node that may be giving requests to versions, also one that is silent: it may be cut off, and
-/// while the table is down too nobody can know what it has decided.
+/// Returns every node that may be assigning requests to versions. This includes unresponsive nodes:
+/// one may be partitioned, and while the table is down too its decisions are unknown.
 fn peers(view: &View) -> Vec<Incarnation> {
     let known = view.nodes.iter().filter(|n| n.state != NodeState::Forgotten);
     known.map(|n| n.incarnation).collect()
 }
 
-/// Names the new version in the catalogue. A conflict with an operator's change is left to the next
-/// try, which starts from that change.
+/// Sets the entry's version in the catalogue to the new one. After a conflict with an operator's change
+/// the next attempt starts from that change.
 async fn adopt<T: Table>(
     store: &Store<T>,
     entry: &str,
@@ -248,7 +250,7 @@
     found.version = version;
     let change = Change {
         apply: format_compact!("{:032x}", rand::random::<u128>()),
-        who: WHO.into(),
+        who: AUTHOR.into(),
         when: Timestamp::now(),
         comment,
     };
--- a/src/control/pollers.rs
+++ b/src/control/pollers.rs
@@ -1,4 +1,4 @@
-//! Tasks on the control thread that read the platform and the runners at intervals.
+//! Tasks on the control thread that poll the platform and the runners.
 
 use {
     super::Control,
@@ -22,21 +22,21 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// Time between two reads of the instance list.
-const LIST_EVERY: Duration = Duration::from_millis(1_000);
-/// Time between two reads of the catalogue's head.
-const CATALOG_EVERY: Duration = Duration::from_millis(1_000);
-/// Time between two rounds of load reports.
-const LOAD_EVERY: Duration = Duration::from_millis(500);
-/// Longest wait for a load report.
+/// Interval between two reads of the instance list.
+const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval between two reads of the catalogue's latest revision number.
+const CATALOG_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Pause between two polls of all load reports.
+const LOAD_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum time to wait for a load report.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Load reports asked for at the same time.
-const LOAD_PARALLEL: usize = 16;
-/// Most bytes of a load report. A runner that answers without end would fill the control thread's
-/// memory, sixteen of them at a time.
-const LOAD_BYTES: usize = 1 << 20;
+/// Maximum number of concurrent requests for load reports.
+const LOAD_CONCURRENCY: usize = 16;
+/// Maximum size of a load report, in bytes. Without it runners with endless responses, of which 16 are
+/// read concurrently, would exhaust the process's memory.
+const MAX_LOAD_BYTES: usize = 1 << 20;
 
-/// Reads the instance list for ever, for the core and for the membership.
+/// Polls the instance list continuously and sends it to the core and the membership.
 pub async fn poll_instances(
     control: Control,
     lists: watch::Sender<Option<InstanceList>>,
@@ -47,66 +47,68 @@
             control.send(Event::Instances(list.clone()));
             lists.send_replace(Some(list));
         }
-        sleep(jittered(LIST_EVERY)).await;
+        sleep(jittered(LIST_INTERVAL)).await;
     }
 }
 
-/// Reads the catalogue's number for ever, and the catalogue when it has grown.
+/// Polls the catalogue's revision number continuously, and reads the catalogue when it increased.
 pub async fn poll_catalog<T: Table>(control: Control, store: Store<T>) {
     loop {
         let known = control.view().catalog.revision;
-        if let Some(numbered) = newer(&store, known).await {
-            control.apply_catalog(numbered);
+        if let Some(latest) = read_newer(&store, known).await {
+            control.apply_catalog(latest);
         }
-        sleep(jittered(CATALOG_EVERY)).await;
+        sleep(jittered(CATALOG_INTERVAL)).await;
     }
 }
 
-/// Asks every runner for its load, for ever.
+/// Polls the load report of every runner continuously.
 pub async fn poll_loads(control: Control) {
-    let mut polled = FxHashMap::default();
+    let mut clients = FxHashMap::default();
     loop {
-        polled = renew(polled, &control.view().runners);
-        stream::iter(&polled)
-            .for_each_concurrent(LOAD_PARALLEL, |(key, runner)| report(&control, *key, runner))
+        clients = update_clients(clients, &control.view().runners);
+        stream::iter(&clients)
+            .for_each_concurrent(LOAD_CONCURRENCY, |(key, runner)| {
+                poll_load(&control, *key, runner)
+            })
             .await;
-        sleep(jittered(LOAD_EVERY)).await;
+        sleep(jittered(LOAD_INTERVAL)).await;
     }
 }
 
-/// A runner's face for load reports. It is kept from round to round with its connection: making
-/// both anew costs three times the report.
-struct Polled {
+/// Client for the load reports of a runner. It is kept between polls with its connection: creating
+/// both again costs three times as much as the report.
+struct LoadClient {
     url: CompactString,
     service: Service,
 }
 
-/// Faces of the runners now watched; those that stay keep their connections.
-fn renew(
-    mut old: FxHashMap<RunnerKey, Polled>,
+/// Returns clients for the given runners; existing clients are reused with their connections.
+fn update_clients(
+    mut old: FxHashMap<RunnerKey, LoadClient>,
     runners: &[(RunnerKey, Instance)],
-) -> FxHashMap<RunnerKey, Polled> {
-    let polled = |(key, instance): &(RunnerKey, Instance)| {
-        let kept = old.remove(key).filter(|p| p.url == instance.url);
+) -> FxHashMap<RunnerKey, LoadClient> {
+    let client = |(key, instance): &(RunnerKey, Instance)| {
+        let kept = old.remove(key).filter(|c| c.url == instance.url);
         let url = &instance.url;
-        let new = || Polled {
+        let new = || LoadClient {
             url: url.clone(),
-            service: Service::new(url.clone(), LOAD_TIMEOUT).with_response_limit(LOAD_BYTES),
+            service: Service::new(url.clone(), LOAD_TIMEOUT).with_response_limit(MAX_LOAD_BYTES),
         };
         (*key, kept.unwrap_or_else(new))
     };
-    runners.iter().map(polled).collect()
+    runners.iter().map(client).collect()
 }
 
-async fn report(control: &Control, runner: RunnerKey, polled: &Polled) {
-    let event = match polled.service.get::<LoadReport>("/load").await {
+async fn poll_load(control: &Control, runner: RunnerKey, client: &LoadClient) {
+    let event = match client.service.get::<LoadReport>("/load").await {
         Ok(report) => Event::Load { runner, report },
         Err(_) => Event::Silent { runner },
     };
     control.send(event);
 }
 
-async fn newer<T: Table>(store: &Store<T>, known: Revision) -> Option<CatalogueRevision> {
+async fn read_newer<T: Table>(store: &Store<T>, known: Revision) -> Option<CatalogueRevision> {
     let head = store.head().await.ok()?;
     if head <= known {
         return None;
@@ -114,7 +116,8 @@
     store.revision(head).await.ok()
 }
 
-/// Spreads nodes that started together, which would otherwise all read the platform at once.
+/// Returns 0.8 to 1.2 times the interval at random, so that nodes that started together don't all poll
+/// the platform at the same time.
 fn jittered(every: Duration) -> Duration {
     every.mul_f64(rand::rng().random_range(0.8..1.2))
 }
--- a/src/control/view.rs
+++ b/src/control/view.rs
@@ -1,4 +1,5 @@
-//! What the control thread publishes for traffic to read without asking.
+//! The snapshot of control state that the control thread publishes, so that traffic can read it
+//! without a message.
 
 use {
     arc_swap::ArcSwap,
@@ -17,33 +18,34 @@
 /// A snapshot of control state.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// The catalogue in force.
+    /// The current catalogue.
     pub catalog: Arc<Catalog>,
-    /// Runners that this node uses, a part of all where there are many.
+    /// Runners that this node uses: a subset of all runners if there are many.
     pub runners: Vec<(RunnerKey, Instance)>,
-    /// How requests are split between two versions, for entries whose version is being moved.
+    /// Split of requests between two versions, for entries with a version move in progress.
     pub splits: Arc<FxHashMap<EntryKey, Split>>,
-    /// Requests running here, by entry and account.
+    /// Requests running on this node, by entry and account.
     pub usage: Vec<(EntryKey, AccountKey, u32)>,
-    /// Nodes that take new requests, own domain first.
+    /// Nodes that accept new requests, those of this node's failure domain first.
     pub addresses: Vec<NodeAddress>,
-    /// All other nodes known.
+    /// All other known nodes.
     pub nodes: Vec<Node>,
-    /// Whether an instance list has been had.
+    /// Whether an instance list has been received.
     pub has_instances: bool,
-    /// Whether requests can be judged and the address answers hold this node.
+    /// Whether requests can be checked and the published addresses include this node.
     pub ready: bool,
-    /// Whether this node is leaving.
+    /// Progress of this node's drain.
     pub drain: DrainState,
 }
 
 impl View {
-    /// Whether a catalogue and an instance list have been had, so that requests can be judged.
+    /// Returns whether a catalogue and an instance list have been received, so that requests can be
+    /// checked.
     pub fn is_initialized(&self) -> bool {
         self.catalog.revision > 0 && self.has_instances
     }
 
-    /// Whether new requests are taken.
+    /// Returns whether new requests are accepted.
     pub fn accepts_requests(&self) -> bool {
         self.ready && matches!(self.drain, DrainState::Serving | DrainState::Leaving)
     }
@@ -65,14 +67,14 @@
     }
 }
 
-/// The place where the newest [`View`] stands. Only the control thread writes to it.
+/// Shared access to the latest [`View`]. Only the control thread writes to it.
 #[derive(Clone, Default)]
 pub struct Published {
     view: Arc<ArcSwap<View>>,
 }
 
 impl Published {
-    /// The newest view.
+    /// Returns the latest view.
     pub fn load(&self) -> Arc<View> {
         self.view.load_full()
     }
@@ -84,25 +86,25 @@
         self.update(|view| View { catalog, runners, ..view });
     }
 
-    /// Publishes how requests are split.
+    /// Publishes the splits of requests between versions.
     pub fn set_splits(&self, splits: FxHashMap<EntryKey, Split>) {
         self.update(|view| View { splits: Arc::new(splits), ..view });
     }
 
-    /// Publishes what runs here.
+    /// Publishes the requests running on this node.
     pub fn set_usage(&self, usage: Vec<(EntryKey, AccountKey, u32)>) {
         self.update(|view| View { usage, ..view });
     }
 
-    /// Publishes what the membership knows.
+    /// Publishes the state of the membership.
     ///
-    /// Readiness goes with the addresses: a node that called itself ready a moment before it stood in
-    /// its own answers would send its first callers nowhere.
+    /// Readiness is published together with the addresses: a node that reported itself ready before
+    /// its own address was included would return a list without it to its first callers.
     pub fn set_members(&self, addresses: Vec<NodeAddress>, nodes: Vec<Node>, drain: DrainState) {
         self.update(|view| View { ready: view.is_initialized(), addresses, nodes, drain, ..view });
     }
 
-    /// Publishes that an instance list was had.
+    /// Publishes that an instance list was received.
     pub fn set_has_instances(&self) {
         self.update(|view| View { has_instances: true, ..view });
     }
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -1,12 +1,12 @@
-//! Non-idempotent calls, at most once, backed by the table.
+//! At-most-once execution of non-idempotent calls, backed by rows in the table service.
 //!
 //! [`Intents::claim`] claims a call. The holder of a [`Permit`] sends the call once and returns the
-//! permit with [`Intents::settle`]; all others get the recorded outcome.
+//! permit with [`Intents::settle`]; every other request for the call gets the recorded outcome.
 
 pub mod answer;
 pub mod batch;
+mod breaker;
 pub mod call;
-mod gate;
 pub mod permit;
 mod recent;
 pub mod sweep;
@@ -31,7 +31,7 @@
     },
     bilberryfront_wire::table::{Read, Row, Write, Written},
     compact_str::CompactString,
-    permit::{Held, Orphan, SharedShelf, step},
+    permit::{DroppedPermit, HeldClaim, SharedShelf, step},
     recent::Recent,
     std::{
         sync::{
@@ -46,30 +46,31 @@
     },
 };
 
-/// Most exchanges with the table for one claim. Each further one needs another request that changed
-/// the row in between, so only a table that contradicts itself gets here.
-const ROUNDS: usize = 8;
-/// First and longest pause between two looks, or two tries to record.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
-/// How long an outcome is tried to be recorded. Well within the core's `RECORD_WITHIN`.
-const RECORD_TRIES: Duration = Duration::from_secs(60);
-/// Most outcomes that wait for the table to come back; with bodies of at most 16 KiB, 16 MB.
-const RECORDS: usize = 1024;
+/// Maximum number of table operations for one claim. Each additional one requires that another
+/// request changed the row in between, so only a table with inconsistent replies reaches the limit.
+const MAX_STEPS: usize = 8;
+/// First and longest pause between two reads of a busy call, or two attempts to record an outcome.
+const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
+/// How long to retry recording an outcome. Well within the `RECORD_WITHIN` of the state machine.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of outcomes that wait to be recorded while the table is down. With bodies of at
+/// most 16 KiB they use up to 16 MiB.
+const MAX_PENDING_RECORDS: usize = 1024;
 
-/// What became of a claim.
+/// Result of a claim.
 pub enum Claim {
     /// This request may send the call, once.
     Granted(Permit),
     /// The call's recorded outcome, never [`Outcome::NotRun`].
     Outcome(Outcome),
-    /// This claim has the call and has recorded no outcome.
+    /// Another claim owns the call and has not recorded an outcome.
     Busy(Holder),
-    /// The key came with another method, path or body before.
+    /// The key was used before with another method, path or body.
     Mismatch,
-    /// Nothing of this request was or will be run, and this node never sent another with its key.
-    /// While the table is down, one that an other node sent can't be known of.
+    /// This request did not and will not run the call, and this node never sent another request with
+    /// its key. While the table is down, a request that another node sent can't be detected.
     NotRun(PlatformError),
-    /// Nothing of this request was or will be run, but another with its key may have been.
+    /// This request did not and will not run the call, but another with its key may have run it.
     Unknown,
 }
 
@@ -93,14 +94,16 @@
     unrecorded: AtomicU64,
     shelf: SharedShelf,
     recent: Mutex<Recent>,
-    orphans: mpsc::Sender<Orphan>,
-    records: Semaphore,
+    dropped: mpsc::Sender<DroppedPermit>,
+    /// Limits the number of outcomes that wait to be recorded.
+    pending_records: Semaphore,
 }
 
 impl<T: Table> Intents<T> {
-    /// Starts the committing task. `incarnation` must be random and new at each start of the node.
+    /// Starts the tasks that commit writes and record the outcomes of dropped permits. `incarnation`
+    /// must be a new random value at each start of the node.
     pub fn start(table: T, incarnation: Incarnation, limits: Limits) -> Intents<T> {
-        let (orphans, receiver) = mpsc::channel(RECORDS);
+        let (dropped, receiver) = mpsc::channel(MAX_PENDING_RECORDS);
         let inner = Arc::new(Inner {
             batch: Batch::start(table.clone(), limits),
             table,
@@ -110,57 +113,59 @@
             unrecorded: AtomicU64::new(0),
             shelf: SharedShelf::default(),
             recent: Mutex::default(),
-            orphans,
-            records: Semaphore::new(RECORDS),
+            dropped,
+            pending_records: Semaphore::new(MAX_PENDING_RECORDS),
         });
-        tokio::spawn(adopt(Arc::downgrade(&inner), receiver));
+        tokio::spawn(record_dropped(Arc::downgrade(&inner), receiver));
         Intents { inner }
     }
 
     /// Claims a call by inserting its row.
     ///
-    /// Runs to its end even when the caller leaves and this future is dropped: the permit is then
-    /// dropped too, which records that nothing was run.
+    /// Runs to completion even when the caller disconnects and this future is dropped: the permit is
+    /// then dropped too, which records that the call was not run.
     pub async fn claim(&self, call: Call) -> Claim {
-        self.enter(call, Event::Claim).await
+        self.spawn_claim(call, Event::Claim).await
     }
 
-    /// Looks again, with growing jittered pauses, until a busy call has an outcome or may be
-    /// claimed, or `timeout` is over.
+    /// Polls a busy call, with exponential backoff and jitter, until it has an outcome or may be
+    /// claimed, or `timeout` has elapsed.
     ///
-    /// `timeout` is the longest time that a call takes. An owner whose claim is older will hardly
-    /// say any more what came of it, and its call is not waited for.
+    /// `timeout` is the longest time that a call takes. An owner whose claim is older is unlikely to
+    /// record an outcome any more, so its call is not waited for.
     pub async fn wait(&self, call: &Call, timeout: Duration) -> Claim {
         let deadline = Instant::now() + timeout;
-        let mut pause = PAUSES.0;
+        let mut pause = RETRY_PAUSES.0;
         loop {
             sleep(jitter(pause)).await;
-            pause = (pause * 2).min(PAUSES.1);
-            let claim = self.enter(call.clone(), Event::Look).await;
-            let open = match &claim {
+            pause = (pause * 2).min(RETRY_PAUSES.1);
+            let claim = self.spawn_claim(call.clone(), Event::Look).await;
+            let is_pending = match &claim {
                 Claim::Busy(holder) => {
                     unix_now() <= holder.created.saturating_add(timeout.as_secs())
                 }
                 Claim::Unknown => true,
                 _ => false,
             };
-            if !open || Instant::now() + pause > deadline {
+            if !is_pending || Instant::now() + pause > deadline {
                 return claim;
             }
         }
     }
 
-    /// What is known of a call that this request won't claim, for instance as no runner can take it.
-    /// Costs a read and no write; never grants a permit. [`Claim::NotRun`] says that nobody ran it.
+    /// Returns the recorded state of a call that this request won't claim, for example because no
+    /// runner is available. Costs one read and no write, and never grants a permit.
+    /// [`Claim::NotRun`] means that no request ran the call, as far as the table and this node know.
     ///
-    /// Without it a retry of a call that ran would be refused as "not run" when its runner has died
-    /// since, and the caller would post it under a new key.
+    /// Without it the retry of a call that did run would be rejected as "not run" if its runner has
+    /// failed in the meantime, and the caller would send the call again under a new key.
     pub async fn peek(&self, call: &Call) -> Claim {
         self.inner.peek(call).await
     }
 
-    /// Records what came of a call. Waits no longer than one slow commit and returns whether it is
-    /// recorded by then; the tries go on for a minute, also when this future is dropped.
+    /// Records the outcome of a call. Waits for at most [`Limits::reply_timeout`] and returns whether
+    /// the outcome is recorded by then; attempts continue in the background for up to a minute, even
+    /// if this future is dropped.
     pub async fn settle(&self, permit: Permit, outcome: Outcome) -> bool {
         let Some(held) = permit.release() else { return false };
         let inner = self.inner.clone();
@@ -168,90 +173,99 @@
         matches!(timeout(self.inner.limits.reply_timeout, record).await, Ok(Ok(true)))
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn stats(&self) -> Stats {
         self.inner.batch.stats()
     }
 
-    /// Outcomes that could not be recorded.
+    /// Returns the number of outcomes that could not be recorded.
     pub fn unrecorded(&self) -> u64 {
         self.inner.unrecorded.load(Ordering::Relaxed)
     }
 
-    async fn enter(&self, call: Call, first: Event) -> Claim {
+    async fn spawn_claim(&self, call: Call, first: Event) -> Claim {
         let inner = self.inner.clone();
-        let claim = tokio::spawn(async move { inner.enter(&call, first).await });
+        let claim = tokio::spawn(async move { inner.start_claim(&call, first).await });
         claim.await.unwrap_or(Claim::Unknown)
     }
 }
 
 /// Records the outcomes of dropped permits.
-async fn adopt<T: Table>(inner: Weak<Inner<T>>, mut orphans: mpsc::Receiver<Orphan>) {
-    while let Some((held, outcome)) = orphans.recv().await {
+async fn record_dropped<T: Table>(
+    inner: Weak<Inner<T>>,
+    mut dropped: mpsc::Receiver<DroppedPermit>,
+) {
+    while let Some((held, outcome)) = dropped.recv().await {
         let Some(inner) = inner.upgrade() else { return };
         tokio::spawn(async move { inner.record(held, outcome).await });
     }
 }
 
 impl<T: Table> Inner<T> {
-    async fn enter(&self, call: &Call, first: Event) -> Claim {
+    async fn start_claim(&self, call: &Call, first: Event) -> Claim {
         let claim = self.claims.fetch_add(1, Ordering::Relaxed);
         let owner = Owner { incarnation: self.incarnation, claim };
         let life = Life::new(owner, call.digest.clone(), Instant::now(), unix_now());
-        self.drive(Held { row: call.row(), life }, first).await
+        self.run_claim(HeldClaim { row: call.row(), life }, first).await
     }
 
     async fn peek(&self, call: &Call) -> Claim {
         let row = call.row();
-        let read = match self.batch.is_shut() {
-            true => Err(PlatformError::Down("the table has just failed".into())),
+        let read = match self.batch.is_open() {
+            true => Err(PlatformError::Down("the table failed recently".into())),
             false => self.read(&row).await,
         };
         match read {
             Ok(found) => {
-                self.say(peek(found.as_ref().map(|f| &f.intent), &call.digest), &row, None)
+                self.to_claim(peek(found.as_ref().map(|f| &f.intent), &call.digest), &row, None)
             }
-            Err(why) => self.say(Verdict::NotRun, &row, Some(why)),
+            Err(error) => self.to_claim(Verdict::NotRun, &row, Some(error)),
         }
     }
 
-    async fn drive(&self, mut held: Held, first: Event) -> Claim {
-        let mut why = None;
+    async fn run_claim(&self, mut held: HeldClaim, first: Event) -> Claim {
+        let mut last_error = None;
         let mut action = step(&mut held.life, first, &self.shelf);
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_STEPS {
             let outcome = match action {
                 Action::Write(found) => self.write(&held.row, &found).await.map(Event::Written),
                 Action::Read => self.read(&held.row).await.map(Event::Row),
-                end => return self.claim(end, held, why),
+                last => return self.finish_claim(last, held, last_error),
             };
-            let event = outcome.unwrap_or_else(|error| failed(error, &mut why));
+            let event = outcome.unwrap_or_else(|error| failed(error, &mut last_error));
             action = step(&mut held.life, event, &self.shelf);
         }
-        self.claim(action, held, why)
+        self.finish_claim(action, held, last_error)
     }
 
-    fn claim(&self, end: Action, held: Held, why: Option<PlatformError>) -> Claim {
-        match end {
+    fn finish_claim(&self, last: Action, held: HeldClaim, error: Option<PlatformError>) -> Claim {
+        match last {
             Action::Permit => {
                 let row = held.life.row().expect("a permit comes with a row");
-                self.recent().note(&held.row, row.intent.holder());
-                Claim::Granted(Permit::new(held, self.shelf.clone(), self.orphans.clone()))
+                self.recent().insert(&held.row, row.intent.holder());
+                Claim::Granted(Permit::new(held, self.shelf.clone(), self.dropped.clone()))
             }
-            Action::Say(verdict) => self.say(verdict, &held.row, why),
+            Action::Say(verdict) => self.to_claim(verdict, &held.row, error),
             _ => Claim::Unknown,
         }
     }
 
-    fn say(&self, verdict: Verdict, row: &CompactString, why: Option<PlatformError>) -> Claim {
+    fn to_claim(
+        &self,
+        verdict: Verdict,
+        row: &CompactString,
+        error: Option<PlatformError>,
+    ) -> Claim {
         match verdict {
             Verdict::Outcome(outcome) => Claim::Outcome(outcome),
             Verdict::Busy(holder) => Claim::Busy(holder),
             Verdict::Mismatch => Claim::Mismatch,
             Verdict::Unclear => Claim::Unknown,
             Verdict::NotRun => {
-                let why = why.unwrap_or(PlatformError::Down("the call is not in the table".into()));
+                let error =
+                    error.unwrap_or(PlatformError::Down("the call is not in the table".into()));
                 let holder = self.recent().holder(row);
-                holder.map_or(Claim::NotRun(why), Claim::Busy)
+                holder.map_or(Claim::NotRun(error), Claim::Busy)
             }
         }
     }
@@ -260,12 +274,12 @@
         self.recent.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn record(&self, mut held: Held, outcome: Outcome) -> bool {
-        let deadline = Instant::now() + RECORD_TRIES;
-        let mut pause = PAUSES.0;
-        let mut waits = None;
+    async fn record(&self, mut held: HeldClaim, outcome: Outcome) -> bool {
+        let deadline = Instant::now() + RECORD_TIMEOUT;
+        let mut pause = RETRY_PAUSES.0;
+        let mut pending = None;
         if outcome == Outcome::NotRun {
-            self.recent().forget(&held.row, held.life.owner());
+            self.recent().remove(&held.row, held.life.owner());
         }
         let end = Event::End(outcome, Instant::now());
         let mut action = step(&mut held.life, end, &self.shelf);
@@ -276,12 +290,12 @@
             if action == Action::Rest {
                 return true;
             }
-            waits = waits.or_else(|| self.records.try_acquire().ok());
-            if waits.is_none() || Instant::now() > deadline {
+            pending = pending.or_else(|| self.pending_records.try_acquire().ok());
+            if pending.is_none() || Instant::now() > deadline {
                 break;
             }
             sleep(jitter(pause)).await;
-            pause = (pause * 2).min(PAUSES.1);
+            pause = (pause * 2).min(RETRY_PAUSES.1);
         }
         step(&mut held.life, Event::GiveUp, &self.shelf);
         self.unrecorded.fetch_add(1, Ordering::Relaxed);
@@ -298,34 +312,37 @@
         let read = Read { keys: vec![row.clone()] };
         let rows = match timeout(self.limits.reply_timeout, self.table.read(&read)).await {
             Ok(rows) => rows?.rows,
-            Err(_) => return Err(PlatformError::Lost("the table is slow".into())),
+            Err(_) => return Err(PlatformError::Lost("the table did not reply in time".into())),
         };
-        rows.into_iter().find(|r| r.key == *row).map(|r| found(&r)).transpose()
+        rows.into_iter().find(|r| r.key == *row).map(|r| decode(&r)).transpose()
     }
 }
 
-/// A row that is no intent is as good as none that can be read: nobody may send the call.
-fn found(row: &Row) -> Result<Found> {
+/// Decodes a row. A row that can't be decoded counts as a lost reply, so that no request may send
+/// the call.
+fn decode(row: &Row) -> Result<Found> {
     let intent: Intent =
         serde_json::from_str(&row.value).map_err(|e| PlatformError::Lost(e.to_string()))?;
     Ok(Found { revision: row.revision, intent })
 }
 
-fn failed(error: PlatformError, why: &mut Option<PlatformError>) -> Event {
+/// Returns the event for an error, and keeps the error in `last_error`.
+fn failed(error: PlatformError, last_error: &mut Option<PlatformError>) -> Event {
     let fault = match &error {
         PlatformError::Down(_) => Fault::Down,
         PlatformError::Lost(_) => Fault::Lost,
     };
-    *why = Some(error);
+    *last_error = Some(error);
     Event::Failed(fault)
 }
 
-/// Between a half and one and a half of `pause`, so that waiting nodes don't ask together.
+/// Returns a random duration between 0.5 and 1.5 times `pause`, so that waiting nodes don't poll at
+/// the same time.
 fn jitter(pause: Duration) -> Duration {
     pause.mul_f64(rand::random_range(0.5..1.5))
 }
 
-/// Seconds since the Unix epoch.
+/// Returns the seconds since the Unix epoch.
 pub(crate) fn unix_now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs())
 }
--- a/src/intents/answer.rs
+++ b/src/intents/answer.rs
@@ -1,4 +1,4 @@
-//! A runner's answer, from HTTP to a row and back.
+//! Conversion of a runner's response between HTTP and its recorded form.
 
 use {
     super::call::hex,
@@ -8,14 +8,14 @@
     http::HeaderMap,
 };
 
-/// Longest body that is kept for a retry, in bytes. Answers to such calls are short receipts; a
-/// longer one would take the place of many other rows in a commit.
+/// Longest body that is recorded for retries, in bytes. Responses to such calls are usually short
+/// receipts; a longer one would displace many other rows from a commit.
 pub const BODY_MAX: usize = 16 << 10;
-/// Headers that are kept for a retry.
+/// Headers that are recorded for retries.
 pub const KEPT_HEADERS: [&str; 5] =
     ["content-type", "content-language", "location", "etag", "last-modified"];
 
-/// The answer as a row keeps it.
+/// Returns the response in its recorded form.
 pub fn keep(status: u16, headers: &HeaderMap, body: &[u8]) -> Answer {
     let headers = KEPT_HEADERS
         .iter()
@@ -35,7 +35,8 @@
     }
 }
 
-/// The body of a kept answer; `None` when it was too long to keep, or its row is damaged.
+/// Returns the body of a recorded response; `None` if it was too long to record, or the row is
+/// corrupt.
 pub fn body(kept: &Kept) -> Option<Bytes> {
     match kept {
         Kept::Text(text) => Some(Bytes::copy_from_slice(text.as_bytes())),
--- a/src/intents/batch.rs
+++ b/src/intents/batch.rs
@@ -1,10 +1,11 @@
-//! Many conditional writes in few commits.
+//! Batching of conditional writes into few commits.
 //!
-//! The table counts a commit as one write whatever its rows. While commits are under way, or the
-//! node's share of the table's writes is used up, further writes wait and then go together.
+//! The table's rate limit counts a commit as one write, regardless of its number of rows. While the
+//! maximum number of commits is in flight, or this node's share of the rate is used up, further
+//! writes are queued and then committed together.
 
 use {
-    super::gate::Gate,
+    super::breaker::CircuitBreaker,
     crate::platform::{
         http::{PlatformError, Result},
         table::Table,
@@ -23,31 +24,33 @@
     },
 };
 
-/// Bounds of the batching.
+/// Limits of the batching.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Most rows in a commit.
+    /// Maximum number of rows in a commit.
     pub rows: usize,
-    /// Most bytes of keys and values in a commit; one larger row goes alone.
+    /// Maximum size of the keys and values in a commit, in bytes. A single larger row is committed
+    /// alone.
     pub bytes: usize,
-    /// Most commits under way.
+    /// Maximum number of concurrent commits.
     pub in_flight: usize,
-    /// Shortest time between the starts of two commits: one over this node's share of writes.
+    /// Minimum time between the starts of two commits: the reciprocal of this node's share of the
+    /// table's write rate.
     pub interval: Duration,
-    /// Most writes that wait.
+    /// Maximum number of queued writes.
     pub queue: usize,
-    /// Age at which a write that still waits for its commit is refused. Its caller wouldn't wait
-    /// longer; and only a process that was paused has writes that are hours old, whose rows may have
-    /// been swept meanwhile, so that the revisions they expect belong to other rows.
+    /// Age at which a queued write is rejected. Its caller would not wait longer. Besides, a write
+    /// that is hours old, as in a process that was paused, may expect the revision of a row that was
+    /// swept in the meantime, and that revision may belong to another row now.
     pub timeout: Duration,
-    /// Longest wait for a commit or a read; its reply then counts as lost.
+    /// Maximum time to wait for a commit or a read; after it the reply counts as lost.
     pub reply_timeout: Duration,
-    /// Time between two probes while the table fails.
+    /// Interval between two probes while the table fails.
     pub probe: Duration,
 }
 
 impl Default for Limits {
-    /// For one of six nodes that share 300 writes a second.
+    /// The limits for one of six nodes that share 300 writes per second.
     fn default() -> Limits {
         Limits {
             rows: 256,
@@ -63,29 +66,30 @@
 }
 
 impl Limits {
-    /// Writes that can wait and still go in time. One more is refused at once, rather than after a
-    /// wait in vain.
-    fn room(&self) -> usize {
-        let gap = self.interval.as_secs_f64().max(f64::MIN_POSITIVE);
-        let commits = (self.timeout.as_secs_f64() / gap) as usize;
+    /// Returns the number of queued writes that can be committed before they time out. One more is
+    /// rejected immediately instead of after its timeout.
+    fn capacity(&self) -> usize {
+        let interval = self.interval.as_secs_f64().max(f64::MIN_POSITIVE);
+        let commits = (self.timeout.as_secs_f64() / interval) as usize;
         self.queue.min(commits.max(1).saturating_mul(self.rows))
     }
 }
 
-/// What has been done so far.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Commits that the table answered.
     pub commits: u64,
-    /// Rows in these.
+    /// Rows in these commits.
     pub rows: u64,
     /// Commits that failed or whose reply was lost.
     pub failed: u64,
-    /// Writes refused at once: the queue was full or the table failing.
+    /// Writes rejected without being sent: the queue was full, the breaker was open, or the write
+    /// timed out in the queue.
     pub refused: u64,
 }
 
-/// A handle to the committing task, which ends with it.
+/// A handle to the task that commits the batches; dropping the handle aborts the task.
 pub(super) struct Batch {
     shared: Arc<Shared>,
     task: AbortHandle,
@@ -94,27 +98,28 @@
 struct Shared {
     limits: Limits,
     state: Mutex<State>,
-    bell: Notify,
+    /// Notified when a write was queued.
+    queued: Notify,
 }
 
 struct State {
-    waiting: VecDeque<Item>,
-    gate: Gate,
+    queue: VecDeque<QueuedWrite>,
+    breaker: CircuitBreaker,
     stats: Stats,
 }
 
-struct Item {
+struct QueuedWrite {
     write: Write,
     reply: oneshot::Sender<Result<Written>>,
-    born: Instant,
+    queued_at: Instant,
 }
 
-impl Item {
+impl QueuedWrite {
     fn size(&self) -> usize {
         self.write.key.len() + self.write.value.as_ref().map_or(0, String::len)
     }
 
-    /// The receiver may be gone.
+    /// Sends the result, unless the receiver was dropped.
     fn answer(self, result: Result<Written>) {
         _ = self.reply.send(result);
     }
@@ -123,30 +128,33 @@
 impl Batch {
     /// Starts the committing task.
     pub(super) fn start<T: Table>(table: T, limits: Limits) -> Batch {
-        let gate = Gate::new(limits.probe);
-        let state = State { waiting: VecDeque::new(), gate, stats: Stats::default() };
-        let shared = Arc::new(Shared { limits, state: Mutex::new(state), bell: Notify::new() });
+        let breaker = CircuitBreaker::new(limits.probe);
+        let state = State { queue: VecDeque::new(), breaker, stats: Stats::default() };
+        let shared = Arc::new(Shared { limits, state: Mutex::new(state), queued: Notify::new() });
         let committer = Committer {
             table,
             shared: shared.clone(),
-            flights: JoinSet::new(),
-            slot: Instant::now(),
+            in_flight: JoinSet::new(),
+            next_start: Instant::now(),
         };
         let task = tokio::spawn(committer.run()).abort_handle();
         Batch { shared, task }
     }
 
-    /// Writes one row with others. Refuses at once when the table fails or too many wait.
+    /// Queues a write and waits for its result. Fails immediately while the breaker is open or the
+    /// queue is full.
     pub(super) async fn write(&self, write: Write) -> Result<Written> {
         let (reply, answer) = oneshot::channel();
-        self.shared.push(Item { write, reply, born: Instant::now() })?;
-        self.shared.bell.notify_one();
-        answer.await.unwrap_or_else(|_| Err(PlatformError::Lost("the node is stopping".into())))
+        self.shared.push(QueuedWrite { write, reply, queued_at: Instant::now() })?;
+        self.shared.queued.notify_one();
+        answer
+            .await
+            .unwrap_or_else(|_| Err(PlatformError::Lost("the node is shutting down".into())))
     }
 
-    /// Whether the table has just failed.
-    pub(super) fn is_shut(&self) -> bool {
-        self.shared.lock().gate.is_shut()
+    /// Returns whether the circuit breaker is open, because the table failed recently.
+    pub(super) fn is_open(&self) -> bool {
+        self.shared.lock().breaker.is_open()
     }
 
     pub(super) fn stats(&self) -> Stats {
@@ -165,148 +173,152 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn push(&self, item: Item) -> Result<()> {
+    fn push(&self, item: QueuedWrite) -> Result<()> {
         let mut state = self.lock();
-        let refusal = if state.waiting.len() >= self.limits.room() {
-            Some("too many writes wait")
-        } else if !state.gate.admit(Instant::now()) {
-            Some("the table has just failed")
+        let rejection = if state.queue.len() >= self.limits.capacity() {
+            Some("the queue of writes is full")
+        } else if !state.breaker.allow(Instant::now()) {
+            Some("the table failed recently")
         } else {
             None
         };
-        if let Some(text) = refusal {
+        if let Some(text) = rejection {
             state.stats.refused += 1;
             return Err(PlatformError::Down(text.into()));
         }
-        state.waiting.push_back(item);
+        state.queue.push_back(item);
         Ok(())
     }
 
-    /// The writes that have waited too long; the oldest stand in front.
-    fn take_late(&self) -> Vec<Item> {
+    /// Removes and returns the writes that have timed out in the queue, which is ordered by age.
+    fn take_expired(&self) -> Vec<QueuedWrite> {
         let mut state = self.lock();
-        let late = |item: &&Item| item.born.elapsed() >= self.limits.timeout;
-        let count = state.waiting.iter().take_while(late).count();
+        let is_expired = |item: &&QueuedWrite| item.queued_at.elapsed() >= self.limits.timeout;
+        let count = state.queue.iter().take_while(is_expired).count();
         state.stats.refused += count as u64;
-        state.waiting.drain(..count).collect()
+        state.queue.drain(..count).collect()
     }
 
-    /// The writes of the next commit.
-    fn take(&self) -> Vec<Item> {
+    /// Removes and returns the writes of the next commit.
+    fn take_batch(&self) -> Vec<QueuedWrite> {
         let mut state = self.lock();
-        let room = state.waiting.iter().scan(0, |bytes, item| {
+        let fits = state.queue.iter().scan(0, |bytes, item| {
             *bytes += item.size();
             Some(*bytes <= self.limits.bytes)
         });
-        let count = room.take(self.limits.rows).take_while(|fits| *fits).count();
-        let count = count.max(1).min(state.waiting.len());
-        state.waiting.drain(..count).collect()
+        let count = fits.take(self.limits.rows).take_while(|fits| *fits).count();
+        let count = count.max(1).min(state.queue.len());
+        state.queue.drain(..count).collect()
     }
 
     fn is_idle(&self) -> bool {
-        self.lock().waiting.is_empty()
+        self.lock().queue.is_empty()
     }
 }
 
-/// A commit that came back, and the writes it carried.
-struct Landed {
-    items: Vec<Item>,
+/// A completed commit, and its writes.
+struct CompletedCommit {
+    items: Vec<QueuedWrite>,
     result: Result<Committed>,
-    /// No reply within [`Limits::reply_timeout`].
-    hung: bool,
+    /// Whether there was no reply within [`Limits::reply_timeout`].
+    timed_out: bool,
 }
 
 struct Committer<T> {
     table: T,
     shared: Arc<Shared>,
-    flights: JoinSet<Landed>,
+    in_flight: JoinSet<CompletedCommit>,
     /// Earliest start of the next commit.
-    slot: Instant,
+    next_start: Instant,
 }
 
 impl<T: Table> Committer<T> {
     async fn run(mut self) {
         loop {
-            let can_start = self.flights.len() < self.shared.limits.in_flight;
+            let can_start = self.in_flight.len() < self.shared.limits.in_flight;
             let due = can_start && !self.shared.is_idle();
             tokio::select! {
                 biased;
-                Some(landed) = self.flights.join_next() => {
-                    self.land(landed.expect("a commit doesn't panic"));
+                Some(completed) = self.in_flight.join_next() => {
+                    self.complete_commit(completed.expect("a commit doesn't panic"));
                 }
-                () = sleep_until(self.slot), if due => self.launch(),
-                () = self.shared.bell.notified(), if !due => {}
+                () = sleep_until(self.next_start), if due => self.start_commit(),
+                () = self.shared.queued.notified(), if !due => {}
             }
         }
     }
 
-    fn launch(&mut self) {
+    fn start_commit(&mut self) {
         let limits = self.shared.limits;
-        let late = self.shared.take_late();
-        let refusal = PlatformError::Down("the write waited too long".into());
-        late.into_iter().for_each(|i| i.answer(Err(refusal.clone())));
-        let items = self.shared.take();
+        let expired = self.shared.take_expired();
+        let rejection = PlatformError::Down("the write timed out in the queue".into());
+        expired.into_iter().for_each(|i| i.answer(Err(rejection.clone())));
+        let items = self.shared.take_batch();
         if items.is_empty() {
             return;
         }
-        self.slot = Instant::now() + limits.interval;
+        self.next_start = Instant::now() + limits.interval;
         let table = self.table.clone();
-        self.flights.spawn(async move {
+        self.in_flight.spawn(async move {
             let writes = items.iter().map(|i| i.write.clone()).collect();
             let commit = Commit { atomic: false, writes };
             match timeout(limits.reply_timeout, table.commit(&commit)).await {
-                Ok(result) => Landed { items, result, hung: false },
+                Ok(result) => CompletedCommit { items, result, timed_out: false },
                 Err(_) => {
-                    let result = Err(PlatformError::Lost("the table is slow".into()));
-                    Landed { items, result, hung: true }
+                    let result = Err(PlatformError::Lost("the table did not reply in time".into()));
+                    CompletedCommit { items, result, timed_out: true }
                 }
             }
         });
     }
 
-    fn land(&mut self, Landed { items, result, hung }: Landed) {
-        match check(result, items.len()) {
+    fn complete_commit(&mut self, CompletedCommit { items, result, timed_out }: CompletedCommit) {
+        match check_row_count(result, items.len()) {
             Ok(committed) => {
-                self.note_success(items.len());
+                self.record_success(items.len());
                 for (item, written) in items.into_iter().zip(committed.results) {
                     item.answer(Ok(written));
                 }
             }
             Err(error) => {
-                let refused = self.note_failure(hung);
+                let rejected = self.record_failure(timed_out);
                 items.into_iter().for_each(|i| i.answer(Err(error.clone())));
                 let down = PlatformError::Down(error.to_string());
-                refused.into_iter().for_each(|i| i.answer(Err(down.clone())));
+                rejected.into_iter().for_each(|i| i.answer(Err(down.clone())));
             }
         }
     }
 
-    fn note_success(&self, rows: usize) {
+    fn record_success(&self, rows: usize) {
         let mut state = self.shared.lock();
-        state.gate.succeeded();
+        state.breaker.record_success();
         state.stats.commits += 1;
         state.stats.rows += rows as u64;
     }
 
-    /// Counts a failure. When it shuts the gate, what waits is refused too: it would else wait for
-    /// one timeout after another while its caller could have gone elsewhere.
-    fn note_failure(&self, hung: bool) -> VecDeque<Item> {
+    /// Counts a failure. If the breaker is then open, removes and returns the queued writes, which are
+    /// rejected too: they would wait for one timeout after another while their callers could have
+    /// used another node.
+    fn record_failure(&self, timed_out: bool) -> VecDeque<QueuedWrite> {
         let mut state = self.shared.lock();
         state.stats.failed += 1;
-        if !state.gate.failed(Instant::now(), hung) {
+        if !state.breaker.record_failure(Instant::now(), timed_out) {
             return VecDeque::new();
         }
-        let waiting = mem::take(&mut state.waiting);
-        state.stats.refused += waiting.len() as u64;
-        waiting
+        let queue = mem::take(&mut state.queue);
+        state.stats.refused += queue.len() as u64;
+        queue
     }
 }
 
-/// An answer that doesn't match the commit tells nothing of any row.
-fn check(result: Result<Committed>, rows: usize) -> Result<Committed> {
+/// Treats a reply with another number of rows than the commit as lost: its results can't be assigned
+/// to rows.
+fn check_row_count(result: Result<Committed>, rows: usize) -> Result<Committed> {
     let committed = result?;
     match committed.results.len() == rows {
         true => Ok(committed),
-        false => Err(PlatformError::Lost("the table answered for other rows".into())),
+        false => Err(PlatformError::Lost(
+            "the table's reply has another number of rows than the commit".into(),
+        )),
     }
 }
--- a/src/intents/call.rs
+++ b/src/intents/call.rs
@@ -1,4 +1,4 @@
-//! A non-idempotent call's identity.
+//! Identity of a non-idempotent call.
 
 use {
     compact_str::{CompactString, format_compact},
@@ -6,10 +6,10 @@
     std::fmt::Write as _,
 };
 
-/// Prefix of every intent's row.
+/// Prefix of the row key of every intent.
 pub const PREFIX: &str = "intent/";
 
-/// A call as its caller named it.
+/// The identity of a call, as given by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// Name of the account.
@@ -23,22 +23,23 @@
 }
 
 impl Call {
-    /// Key of the call's row: [`PREFIX`] and a digest of account, entry and key.
+    /// Returns the key of the call's row: [`PREFIX`] and a digest of account, entry and key.
     ///
-    /// A digest has one length whatever the names are, needs no escapes, and spreads the rows
-    /// evenly below any prefix, which is how the sweeper reads them in small parts.
+    /// A digest has a fixed length, needs no escaping and distributes the rows evenly over key
+    /// prefixes, so the sweeper can read them in small shards.
     pub fn row(&self) -> CompactString {
         let hash = hash([&*self.account, &*self.entry, &*self.key].map(str::as_bytes));
         format_compact!("{PREFIX}{hash}")
     }
 }
 
-/// Digest of what a call does: a key that comes with another digest is a caller's mistake.
+/// Returns the digest of a call's request. Reuse of a key with another digest is a caller error.
 pub fn digest(method: &str, path: &str, body: &[u8]) -> CompactString {
     hash([method.as_bytes(), path.as_bytes(), body])
 }
 
-/// Lower-case hex SHA-256 of the parts, each after its length: ("ab", "c") is not ("a", "bc").
+/// Returns the lower-case hex SHA-256 of the parts. Each part is prefixed with its length, so that
+/// ("ab", "c") and ("a", "bc") differ.
 fn hash<const N: usize>(parts: [&[u8]; N]) -> CompactString {
     let mut hasher = Sha256::new();
     for part in parts {
@@ -48,7 +49,7 @@
     hex(&hasher.finalize())
 }
 
-/// Lower-case hex.
+/// Encodes bytes as lower-case hex.
 pub(super) fn hex(bytes: &[u8]) -> CompactString {
     let mut text = CompactString::with_capacity(bytes.len() * 2);
     for byte in bytes {
--- a/src/intents/permit.rs
+++ b/src/intents/permit.rs
@@ -7,46 +7,50 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// The shelf of this node's life, which all its requests share.
+/// The shelf of this run of the node, shared by all its requests.
 pub(super) type SharedShelf = Arc<Mutex<Shelf>>;
 
-/// Steps a life with the shared shelf.
+/// Applies an event to the state machine of a call, with the shared shelf.
 pub(super) fn step(life: &mut Life, event: Event, shelf: &SharedShelf) -> Action {
     life.step(event, &mut shelf.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// A call's life from its claim to its record, and its row's key.
-pub(super) struct Held {
+/// The state machine of a claimed call, and the key of the call's row.
+pub(super) struct HeldClaim {
     pub(super) row: CompactString,
     pub(super) life: Life,
 }
 
-/// An outcome for a claim whose permit was dropped.
-pub(super) type Orphan = (Held, Outcome);
+/// A claim whose permit was dropped, and the outcome to record for it.
+pub(super) type DroppedPermit = (HeldClaim, Outcome);
 
-/// The right to send a call once. Not `Clone`, and given back by [`super::Intents::settle`].
+/// The right to send a call once. Not `Clone`; returned with [`super::Intents::settle`].
 ///
-/// When its holder ends without that, such as by a caller's leaving, the drop records "not run" if
-/// [`Permit::begin`] had not been called, else "unknown".
+/// If it is dropped instead, for example because the caller disconnected, the outcome is recorded as
+/// "not run" if [`Permit::begin`] was not called, and as "unknown" otherwise.
 pub struct Permit {
-    held: Option<Held>,
+    held: Option<HeldClaim>,
     shelf: SharedShelf,
-    orphans: mpsc::Sender<Orphan>,
+    dropped: mpsc::Sender<DroppedPermit>,
 }
 
 impl Permit {
-    pub(super) fn new(held: Held, shelf: SharedShelf, orphans: mpsc::Sender<Orphan>) -> Permit {
-        Permit { held: Some(held), shelf, orphans }
+    pub(super) fn new(
+        held: HeldClaim,
+        shelf: SharedShelf,
+        dropped: mpsc::Sender<DroppedPermit>,
+    ) -> Permit {
+        Permit { held: Some(held), shelf, dropped }
     }
 
-    /// Must be called right before sending. When it says no, the claim is too old to be sent
-    /// safely: settle with [`Outcome::NotRun`].
+    /// Returns whether the call may be sent; must be called immediately before sending. If it returns
+    /// `false`, the claim is too old to send the call safely: settle with [`Outcome::NotRun`].
     pub fn begin(&mut self) -> bool {
         let Some(held) = &mut self.held else { return false };
         step(&mut held.life, Event::Send(Instant::now()), &self.shelf) == Action::Send
     }
 
-    pub(super) fn release(mut self) -> Option<Held> {
+    pub(super) fn release(mut self) -> Option<HeldClaim> {
         self.held.take()
     }
 }
@@ -58,7 +62,7 @@
             State::Owned => Outcome::NotRun,
             _ => Outcome::Unknown,
         };
-        // When too many wait, the row stays without an outcome and retries hear "unknown".
-        _ = self.orphans.try_send((held, outcome));
+        // If the channel is full, the row stays without an outcome and retries get "unknown".
+        _ = self.dropped.try_send((held, outcome));
     }
 }
--- a/src/intents/recent.rs
+++ b/src/intents/recent.rs
@@ -7,13 +7,14 @@
     std::collections::VecDeque,
 };
 
-/// Most calls remembered, about 3 MB.
-const RECENT_MAX: usize = 16_384;
+/// Maximum number of remembered calls, about 3 MB.
+const MAX_RECENT: usize = 16_384;
 
-/// The latest permits of this node, by row.
+/// The most recent permits of this node, by row key.
 ///
-/// While the table is down a retry can't be looked up. Without this memory the node that has just
-/// sent a call would answer "not run" to its retry, and the caller would post it under a new key.
+/// While the table is down, a retry can't be looked up there. Without this cache the node that has
+/// just sent a call would answer "not run" to its retry, and the caller would send it again under a
+/// new key.
 #[derive(Debug, Default)]
 pub(super) struct Recent {
     holders: FxHashMap<CompactString, Holder>,
@@ -21,27 +22,27 @@
 }
 
 impl Recent {
-    /// Notes a permit.
-    pub(super) fn note(&mut self, row: &CompactString, holder: Holder) {
+    /// Adds a permit; evicts the oldest one when full.
+    pub(super) fn insert(&mut self, row: &CompactString, holder: Holder) {
         if self.holders.insert(row.clone(), holder).is_some() {
             return;
         }
         self.order.push_back(row.clone());
-        if self.order.len() > RECENT_MAX
+        if self.order.len() > MAX_RECENT
             && let Some(oldest) = self.order.pop_front()
         {
             self.holders.remove(&oldest);
         }
     }
 
-    /// Forgets a permit that ended without sending.
-    pub(super) fn forget(&mut self, row: &CompactString, owner: Owner) {
+    /// Removes a permit whose call was not sent.
+    pub(super) fn remove(&mut self, row: &CompactString, owner: Owner) {
         if self.holder(row).is_some_and(|h| h.owner == owner) {
             self.holders.remove(row);
         }
     }
 
-    /// The claim under which this node was last allowed to send the call.
+    /// Returns the claim under which this node was last permitted to send the call.
     pub(super) fn holder(&self, row: &CompactString) -> Option<Holder> {
         self.holders.get(row).copied()
     }
--- a/src/intents/sweep.rs
+++ b/src/intents/sweep.rs
@@ -1,8 +1,8 @@
-//! Deletes rows past their retention.
+//! Deletion of rows that are older than their retention period.
 //!
-//! The rows' keys are digests, so a prefix of four hex digits holds 1/65,536 of them. One prefix is
-//! read at a time, round and round: a node that sweeps alone gets through all in a day at 0.76
-//! reads a second.
+//! The row keys are digests, so a prefix of four hex digits selects 1/65,536 of them. The sweeper
+//! reads one such shard at a time, in a cycle: a single node covers all shards in a day at 0.76 reads
+//! per second.
 
 use {
     super::call::PREFIX,
@@ -13,19 +13,19 @@
     std::time::Duration,
 };
 
-/// Prefixes in a round.
+/// Number of shards, one for each four-digit prefix.
 pub const SHARDS: u32 = 1 << 16;
-/// Pause between two prefixes when one node sweeps alone; with `n` nodes, `n` times this.
+/// Pause between two shards when a single node sweeps; multiplied by the number of nodes.
 pub const PAUSE: Duration = Duration::from_millis(1300);
-/// Most rows of one prefix in one go. The rest waits for the next round.
-const ROWS: u32 = 1024;
+/// Maximum number of rows read from a shard at a time. The rest is deleted in the next cycle.
+const MAX_ROWS: u32 = 1024;
 
-/// Deletes the old rows of prefix `shard` modulo [`SHARDS`] and returns how many. `now` is in
+/// Deletes the expired rows of shard `shard` modulo [`SHARDS`] and returns their number. `now` is in
 /// seconds since the Unix epoch.
 pub async fn sweep<T: Table>(table: &T, shard: u32, now: u64) -> Result<usize> {
     let prefix = format_compact!("{PREFIX}{:04x}", shard % SHARDS);
-    let rows = table.scan(&Scan { prefix, limit: ROWS }).await?.rows;
-    let writes: Vec<Write> = rows.into_iter().filter(|r| is_old(r, now)).map(delete).collect();
+    let rows = table.scan(&Scan { prefix, limit: MAX_ROWS }).await?.rows;
+    let writes: Vec<Write> = rows.into_iter().filter(|r| is_expired(r, now)).map(delete).collect();
     if writes.is_empty() {
         return Ok(0);
     }
@@ -33,29 +33,30 @@
     Ok(committed.results.iter().filter(|w| matches!(w, Written::Done(_))).count())
 }
 
-/// Rows that can't be read are left for people to look at.
-fn is_old(row: &Row, now: u64) -> bool {
+/// Returns whether a row is past its retention. A row that can't be decoded is kept for inspection.
+fn is_expired(row: &Row, now: u64) -> bool {
     serde_json::from_str::<Intent>(&row.value)
         .is_ok_and(|i| now.saturating_sub(i.created) >= RETENTION.as_secs())
 }
 
-/// Deletes the row as it was read: a row that was claimed anew meanwhile has another revision.
+/// Returns a delete that is conditional on the revision read, so that a row that was claimed again
+/// in the meantime is kept.
 fn delete(row: Row) -> Write {
     Write { key: row.key, expect: Some(row.revision), value: None }
 }
 
-/// Sweeps for ever, from a random prefix on, so that nodes don't follow each other.
+/// Sweeps all shards continuously. Starts at a random shard, so that nodes are spread over them.
 pub async fn sweep_all<T: Table>(table: T, nodes: impl Fn() -> u32) {
     let mut shard: u32 = rand::random();
     loop {
         tokio::time::sleep(PAUSE * nodes().max(1)).await;
-        // A failed prefix gets its turn in the next round.
+        // A shard that fails is swept again in the next cycle.
         _ = sweep(&table, shard, super::unix_now()).await;
         shard = shard.wrapping_add(1);
     }
 }
 
-/// Prefix of all rows whose keys start like this call's.
+/// Returns the shard of a row key.
 pub fn shard_of(row: &str) -> Option<u32> {
     let digits: CompactString = row.strip_prefix(PREFIX)?.chars().take(4).collect();
     u32::from_str_radix(&digits, 16).ok()
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -4,7 +4,7 @@
     crate::{
         control::{
             Control,
-            moves::{Ended, Trial},
+            moves::{AttemptResult, Trial},
         },
         metrics::Counter,
     },
@@ -74,10 +74,10 @@
 }
 
 impl Lease {
-    /// What the attempt showed; nothing when the caller left.
-    fn ended(&self) -> Option<Ended> {
+    /// Returns the result of the attempt; `None` if the caller disconnected.
+    fn result(&self) -> Option<AttemptResult> {
         let between = self.tokens.checked_sub(1).filter(|n| *n > 0);
-        (self.verdict != Verdict::Cancelled).then(|| Ended {
+        (self.verdict != Verdict::Cancelled).then(|| AttemptResult {
             ok: self.verdict == Verdict::Ok && !self.failed,
             first: self.first,
             pace: between.map(|n| self.waited / n),
@@ -91,8 +91,8 @@
         if let Some(counter) = failure(self.verdict) {
             self.control.metrics().add(counter, 1);
         }
-        if let Some((trial, ended)) = self.trial.take().zip(self.ended()) {
-            self.control.moves().report_attempt(trial, ended);
+        if let Some((trial, result)) = self.trial.take().zip(self.result()) {
+            self.control.moves().report_attempt(trial, result);
         }
         self.control.done(Done {
             ticket: self.grant.ticket,
