--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP face.
+//! HTTP API for callers.
 
 pub mod access;
 pub mod addresses;
@@ -6,13 +6,13 @@
 pub mod body;
 pub mod chooser;
 pub mod completions;
+pub mod fallback;
 pub mod lease;
 pub mod meter;
 pub mod problem;
 pub mod send;
 pub mod services;
 pub mod stream;
-pub mod strays;
 pub mod upstream;
 
 use {
@@ -38,53 +38,55 @@
     },
 };
 
-/// A result whose error is the answer to the caller.
+/// A result whose error is the response to the caller.
 pub type Result<T> = std::result::Result<T, Problem>;
 
-/// When to come back to a node that is starting or leaving.
-const REFUSED_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` of a node that is starting or draining.
+const NOT_SERVING_RETRY: Duration = Duration::from_secs(1);
 
-/// What every handler needs.
+/// State shared by all handlers.
 #[derive(Clone)]
 pub struct Traffic {
     /// The control thread.
     pub control: Control,
-    /// Model engines.
+    /// Client for model engines.
     pub engines: HttpEngines,
-    /// Plain services.
+    /// Client for plain services.
     pub services: Services<HttpTable, Sender>,
-    /// Seconds for which callers may keep an address answer.
+    /// Time to live of an address response, in seconds.
     pub ttl: u32,
-    /// Requests and streams under way.
+    /// Number of requests and streams in flight.
     pub in_flight: Arc<AtomicUsize>,
 }
 
 impl Traffic {
-    /// Counts a request as under way, if new ones are taken.
+    /// Counts a request as in flight, or rejects it if the node doesn't accept new requests.
     pub fn begin_request(&self) -> Result<InFlight> {
         InFlight::new(&self.control, &self.in_flight)
     }
 }
 
-/// A request under way, until dropped.
+/// A request that is counted as in flight until this guard is dropped.
 pub struct InFlight(Arc<AtomicUsize>);
 
 impl InFlight {
-    /// Counts a request in `in_flight`, if the node takes new ones.
+    /// Counts a request in `in_flight`, or rejects it if the node doesn't accept new requests.
     pub fn new(control: &Control, in_flight: &Arc<AtomicUsize>) -> Result<InFlight> {
-        // Counted before the look: the node exits only when it refuses and nothing is counted, so a
-        // request that saw it accept can't be overlooked and cut.
+        // Counted before the view is loaded: the node exits only when it rejects requests and the count
+        // is zero, so a request that was accepted can't be missed and aborted.
         in_flight.fetch_add(1, Ordering::SeqCst);
-        let entered = InFlight(in_flight.clone());
+        let guard = InFlight(in_flight.clone());
         let view = control.view();
         if view.accepts_requests() {
-            return Ok(entered);
+            return Ok(guard);
         }
         let detail = match view.ready {
-            true => "the node is leaving: ask another for addresses",
-            false => "the node is starting and has no catalogue or instance list yet",
+            true => "the node is draining: request the addresses from another node",
+            false => {
+                "the node is starting and has not received a catalogue and an instance list yet"
+            }
         };
-        Err(problem::with_retry_after(not_run(Kind::NotServing, detail), REFUSED_RETRY))
+        Err(problem::with_retry_after(not_run(Kind::NotServing, detail), NOT_SERVING_RETRY))
     }
 }
 
@@ -94,15 +96,15 @@
     }
 }
 
-/// All routes of the callers' face.
+/// Returns the router of the API for callers.
 pub fn router(traffic: Traffic) -> Router {
     Router::new()
-        .route("/healthz", get(addresses::health).fallback(strays::only_get))
-        .route("/readyz", get(addresses::ready).fallback(strays::only_get))
-        .route("/v1/addresses", get(addresses::list).fallback(strays::only_get))
-        .route("/v1/completions", post(completions::complete).fallback(strays::only_post))
+        .route("/healthz", get(addresses::health).fallback(fallback::only_get))
+        .route("/readyz", get(addresses::ready).fallback(fallback::only_get))
+        .route("/v1/addresses", get(addresses::list).fallback(fallback::only_get))
+        .route("/v1/completions", post(completions::complete).fallback(fallback::only_post))
         .route("/v1/services/{*path}", any(services::call))
-        .fallback(strays::not_found)
-        .layer(from_fn(strays::check_headers))
+        .fallback(fallback::not_found)
+        .layer(from_fn(fallback::check_headers))
         .layer(Extension(traffic))
 }
--- a/src/traffic/access.rs
+++ b/src/traffic/access.rs
@@ -1,4 +1,4 @@
-//! Which entries an account may use.
+//! Authorization: the entries that an account may use.
 
 use {
     super::problem::{Kind as ProblemKind, not_run},
@@ -9,7 +9,7 @@
     bilberryfront_wire::problem::Problem,
 };
 
-/// A result whose error is the answer to the caller.
+/// A result whose error is the response to the caller.
 pub type Result<T> = std::result::Result<T, Problem>;
 
 /// Finds an entry of this kind that the account may use.
@@ -21,7 +21,7 @@
 ) -> Result<(EntryKey, &'a Entry)> {
     let found = catalog.entry(name).map(|key| (key, &catalog.entries[key]));
     let Some((key, entry)) = found.filter(|(_, entry)| entry.kind == kind) else {
-        let detail = format!("no {} entry `{name}` in the catalogue", noun(kind));
+        let detail = format!("no {} entry `{name}` in the catalogue", kind_name(kind));
         return Err(not_run(ProblemKind::UnknownEntry, detail));
     };
     if catalog.access(key, account).is_none() {
@@ -31,12 +31,13 @@
     Ok((key, entry))
 }
 
-/// Most bytes that any entry takes, for a body whose entry isn't known before it is read.
+/// Returns the largest body limit of all entries, for a body whose entry isn't known before it is
+/// read.
 pub fn largest_body(catalog: &Catalog) -> u32 {
     catalog.entries.values().map(|e| e.limits.body_bytes).max().unwrap_or(0)
 }
 
-fn noun(kind: Kind) -> &'static str {
+fn kind_name(kind: Kind) -> &'static str {
     match kind {
         Kind::Engine => "engine",
         Kind::Service => "service",
--- a/src/traffic/addresses.rs
+++ b/src/traffic/addresses.rs
@@ -1,4 +1,4 @@
-//! Which node to use, and whether this one serves.
+//! Addresses of the nodes, and health and readiness of this node.
 
 use {
     super::{Traffic, auth, problem},
@@ -9,7 +9,7 @@
     },
 };
 
-/// `GET /healthz`: the process answers.
+/// `GET /healthz`: whether the process responds.
 pub async fn health() -> StatusCode {
     StatusCode::OK
 }
@@ -22,7 +22,7 @@
     }
 }
 
-/// `GET /v1/addresses`: nodes to use, those of this node's failure domain first.
+/// `GET /v1/addresses`: available nodes, those of this node's failure domain first.
 pub async fn list(Extension(traffic): Extension<Traffic>, request: Request) -> Response {
     let view = traffic.control.view();
     if let Err(problem) = auth::account(&view.catalog, request.headers()) {
@@ -31,7 +31,7 @@
     json(&Addresses { addresses: view.addresses.clone(), ttl_seconds: traffic.ttl })
 }
 
-/// A JSON answer.
+/// Returns a response with a JSON body.
 pub fn json(value: &impl serde::Serialize) -> Response {
     let body = serde_json::to_vec(value).expect("wire types always serialize");
     http::Response::builder()
--- a/src/traffic/auth.rs
+++ b/src/traffic/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: keys against the digests in the catalogue.
+//! Authentication of callers: API keys are checked against the digests in the catalogue.
 
 use {
     super::problem::{Kind, not_run, with_retry_after},
@@ -9,15 +9,15 @@
     std::time::Duration,
 };
 
-/// A result whose error is the answer to the caller.
+/// A result whose error is the response to the caller.
 pub type Result<T> = std::result::Result<T, Problem>;
 
-/// When to come back to a node that has no catalogue yet.
+/// `Retry-After` of a node that has no catalogue yet.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Finds the account whose key the request carries.
 ///
-/// Digests and not keys are looked up, so the time of the look-up tells nothing about a key.
+/// The lookup compares digests instead of keys, so that its duration reveals nothing about a key.
 ///
 /// A node that starts during an outage of the table has no catalogue. It reports that it is not
 /// serving yet instead of rejecting the key, since callers do not retry after that.
--- a/src/traffic/body.rs
+++ b/src/traffic/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body within bounds.
+//! Reading of a caller's body, with limits on size and time.
 
 use {
     super::problem::{Kind, not_run},
@@ -11,17 +11,17 @@
     volo_http::body::Body,
 };
 
-/// A result whose error is the answer to the caller.
+/// A result whose error is the response to the caller.
 pub type Result<T> = std::result::Result<T, Problem>;
 
-/// Longest time in which a body must have come. A caller that sends a byte now and then would
-/// otherwise hold memory for ever.
+/// Maximum time to receive a body. Without it a caller that sends a byte now and then would hold memory
+/// indefinitely.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Reads the whole body, of at most `limit` bytes.
 pub async fn read(body: Body, limit: u32) -> Result<Bytes> {
-    // A body that announces too much is refused before it comes; waiting for it could only end the
-    // same way, later.
+    // A body whose declared length is too large is rejected before it is received: receiving it could not
+    // change the result.
     if body.size_hint().lower() > limit.into() {
         return Err(too_large(limit));
     }
@@ -29,12 +29,14 @@
     match timeout(BODY_TIMEOUT, collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large(limit)),
-        Ok(Err(error)) => Err(not_run(Kind::BadRequest, format!("the body broke off: {error}"))),
-        Err(_) => Err(not_run(Kind::SlowBody, "send the whole body within 10 s")),
+        Ok(Err(error)) => {
+            Err(not_run(Kind::BadRequest, format!("the body could not be read: {error}")))
+        }
+        Err(_) => Err(not_run(Kind::SlowBody, "the body was not received within 10 s")),
     }
 }
 
-/// Refuses a body that is larger than its entry allows.
+/// Rejects a body that is larger than its entry allows.
 pub fn check(body: &[u8], limit: u32) -> Result<()> {
     if body.len() > limit as usize {
         return Err(too_large(limit));
@@ -43,5 +45,5 @@
 }
 
 fn too_large(limit: u32) -> Problem {
-    not_run(Kind::TooLarge, format!("send at most {limit} bytes"))
+    not_run(Kind::TooLarge, format!("the body exceeds {limit} bytes"))
 }
--- a/src/traffic/chooser.rs
+++ b/src/traffic/chooser.rs
@@ -1,4 +1,4 @@
-//! Which version a request goes to while its entry's version is being moved.
+//! Choice of the version for a request during a version move.
 
 use {
     crate::control::{moves::Trial, view::View},
@@ -20,7 +20,7 @@
 }
 
 impl Chooser {
-    /// Chooses for a new request. `hash` must be evenly spread.
+    /// Chooses the version of a new request. `hash` must be uniformly distributed.
     pub fn new(
         view: &View,
         entry: EntryKey,
@@ -40,19 +40,19 @@
         Chooser { split, choice, trial }
     }
 
-    /// The only version that the request may go to; `None` for the catalogue's.
+    /// Returns the version that the request must use; `None` for the catalogue's version.
     pub fn version(&self) -> Option<&CompactString> {
         self.split.as_ref().map(|s| s.version(self.choice))
     }
 
-    /// What the request's first attempt shows of its version. Later attempts went to a version that
-    /// wasn't chosen at random, and would weigh the evidence.
+    /// Returns the trial of the request's first attempt, once. The version of later attempts isn't chosen
+    /// at random, so their results would bias the comparison.
     pub fn trial(&mut self) -> Option<Trial> {
         self.trial.take()
     }
 
-    /// Goes back from the new version to the old one; says whether it was the new one. A caller who
-    /// has seen nothing yet needn't suffer from a version that can't serve it.
+    /// Changes the choice from the new version to the old one, and returns whether it was the new one.
+    /// A caller that has received nothing yet need not be affected by a version that can't serve it.
     pub fn fall_back(&mut self) -> bool {
         std::mem::replace(&mut self.choice.new, false)
     }
--- a/src/traffic/completions.rs
+++ b/src/traffic/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`.
+//! `POST /v1/completions`: completions by model engines.
 
 use {
     super::{
@@ -29,35 +29,35 @@
     volo_http::{body::Body, request::Request, response::Response, utils::Extension},
 };
 
-/// A result whose error is the answer to the caller.
+/// A result whose error is the response to the caller.
 pub type Result<T> = std::result::Result<T, Problem>;
 
-/// Header with the id of the last event that the caller holds.
+/// Header with the id of the last event that the caller received.
 const LAST_EVENT_ID: &str = "last-event-id";
 /// Priority of interactive requests at a runner.
-const INTERACTIVE: u8 = 8;
+const INTERACTIVE_PRIORITY: u8 = 8;
 /// Priority of batch requests at a runner.
-const BATCH: u8 = 2;
+const BATCH_PRIORITY: u8 = 2;
 
-/// Answers a completion request as one JSON document or as server-sent events.
+/// Responds to a completion request with a JSON document or with server-sent events.
 ///
-/// Boxed, as the server keeps room for the handler's future for as long as the connection lasts: a
-/// stream would hold the memory that only its beginning needs.
+/// The future is boxed because the server keeps the memory of the handler's future as long as the
+/// connection lasts: a stream would hold memory that only its start needs.
 pub async fn complete(Extension(traffic): Extension<Traffic>, request: Request) -> Response {
-    Box::pin(answered(traffic, request)).await
+    Box::pin(respond(traffic, request)).await
 }
 
-async fn answered(traffic: Traffic, request: Request) -> Response {
+async fn respond(traffic: Traffic, request: Request) -> Response {
     let mut meter = Meter::start(traffic.control.metrics());
     let (head, body) = request.into_parts();
-    let entered = match traffic.begin_request() {
-        Ok(entered) => entered,
+    let guard = match traffic.begin_request() {
+        Ok(guard) => guard,
         Err(problem) => return failed(&problem, &mut meter),
     };
     match prepare(&traffic, &head.headers, body).await {
         Err(problem) => failed(&problem, &mut meter),
-        Ok((driver, true)) => streamed(driver, meter, entered).await,
-        Ok((driver, false)) => whole(driver, meter).await,
+        Ok((driver, true)) => respond_stream(driver, meter, guard).await,
+        Ok((driver, false)) => respond_json(driver, meter).await,
     }
 }
 
@@ -81,17 +81,17 @@
     let max = max_tokens(&request, entry)?;
     let name = &catalog.accounts[account].name;
     let seed = Digest::new(name, &request.model, &request.prompt, max);
-    let fresh: CompactString = format_compact!("{:032x}", rand::random::<u128>());
+    let new_id: CompactString = format_compact!("{:032x}", rand::random::<u128>());
     let (id, generation) = match last_event(headers)? {
         None if request.resume.is_some() => {
-            return Err(not_run(Kind::BadRequest, "`resume` goes with `Last-Event-ID`"));
+            return Err(not_run(Kind::BadRequest, "`resume` requires the header `Last-Event-ID`"));
         }
-        None => (fresh.clone(), Generation::new(seed, max, request.stream)),
+        None => (new_id.clone(), Generation::new(seed, max, request.stream)),
         Some(event) => (event.request.clone(), resumed(seed, max, &request, entry, &event)?),
     };
     let job = Job {
         request: id,
-        runner_request: fresh,
+        runner_request: new_id,
         entry: key,
         account,
         limits: entry.limits,
@@ -109,7 +109,7 @@
     ))
 }
 
-/// Reads a request; the problem names field and line.
+/// Parses a request; the problem names the field and the line.
 pub fn parse(bytes: &[u8]) -> Result<CompletionRequest> {
     let mut json = serde_json::Deserializer::from_slice(bytes);
     let request = serde_path_to_error::deserialize(&mut json);
@@ -128,9 +128,10 @@
     match request.max_tokens {
         None => Ok(limit),
         Some(max) if (1..=limit).contains(&max) => Ok(max),
-        Some(_) => {
-            Err(not_run(Kind::BadRequest, format!("`max_tokens`: send a number from 1 to {limit}")))
-        }
+        Some(_) => Err(not_run(
+            Kind::BadRequest,
+            format!("`max_tokens`: expected a number from 1 to {limit}"),
+        )),
     }
 }
 
@@ -138,7 +139,7 @@
     let Some(value) = headers.get(LAST_EVENT_ID) else { return Ok(None) };
     let id = value.to_str().ok().and_then(|v| v.parse().ok());
     id.map(Some).ok_or_else(|| {
-        not_run(Kind::BadRequest, "`Last-Event-ID`: send the id of the last event as it came")
+        not_run(Kind::BadRequest, "`Last-Event-ID`: expected the unmodified id of an event")
     })
 }
 
@@ -151,21 +152,24 @@
 ) -> Result<Generation> {
     let mismatch = |detail| not_run(Kind::ResumeMismatch, detail);
     if !request.stream {
-        return Err(not_run(Kind::BadRequest, "`Last-Event-ID` goes with `stream`"));
+        return Err(not_run(Kind::BadRequest, "`Last-Event-ID` requires `stream` to be true"));
     }
     if !entry.versions.contains(&event.version) {
-        return Err(mismatch("the version that began the answer is gone: ask anew"));
+        return Err(mismatch(
+            "the version that started the response is no longer available: send a new request",
+        ));
     }
     let text = request.resume.as_deref().unwrap_or_default();
-    Generation::resume(seed, max, event, text)
-        .ok_or_else(|| mismatch("send the same body, and in `resume` all text up to that event"))
+    Generation::resume(seed, max, event, text).ok_or_else(|| {
+        mismatch("expected the same body, and in `resume` all text up to that event")
+    })
 }
 
-/// Class and size of the prompt: a bad version may be bad with long ones only.
+/// Returns the class and the size of the prompt: a faulty version may fail for long prompts only.
 fn route(class: Class, prompt: &str) -> CompactString {
-    /// Bytes below which a prompt is short.
+    /// Size below which a prompt is short, in bytes.
     const SHORT: usize = 2 << 10;
-    /// Bytes from which a prompt is long.
+    /// Size from which a prompt is long, in bytes.
     const LONG: usize = 32 << 10;
     let class = match class {
         Class::Interactive => "interactive",
@@ -181,18 +185,18 @@
 
 fn priority(class: Class) -> u8 {
     match class {
-        Class::Interactive => INTERACTIVE,
-        Class::Batch => BATCH,
+        Class::Interactive => INTERACTIVE_PRIORITY,
+        Class::Batch => BATCH_PRIORITY,
     }
 }
 
-async fn whole<E: Engines>(mut driver: Driver<E>, mut meter: Meter) -> Response {
+async fn respond_json<E: Engines>(mut driver: Driver<E>, mut meter: Meter) -> Response {
     loop {
         match driver.next().await {
             Some(Piece::Tokens(tokens)) => meter.tokens(tokens.len()),
             Some(Piece::Finish(reason)) => {
                 meter.complete();
-                return addresses::json(&answer(driver, reason));
+                return addresses::json(&completion(driver, reason));
             }
             Some(Piece::Failed(problem)) => return failed(&problem, &mut meter),
             None => unreachable!("a generation ends with a finish or a failure"),
@@ -200,7 +204,7 @@
     }
 }
 
-fn answer<E: Engines>(driver: Driver<E>, reason: FinishReason) -> Completion {
+fn completion<E: Engines>(driver: Driver<E>, reason: FinishReason) -> Completion {
     let tokens = driver.tokens();
     let Job { request, model, .. } = driver.job().clone();
     let choice = Choice { index: 0, text: driver.into_text(), finish_reason: Some(reason) };
@@ -208,12 +212,12 @@
     Completion { id: request, model, choices: vec![choice], usage }
 }
 
-/// Answers with a stream. The head is held back until the first piece, so that a request that gets
-/// no runner is refused with its own status.
-async fn streamed<E: Engines>(
+/// Responds with a stream. The head is sent with the first piece, so that a request that gets no runner
+/// is rejected with its own status.
+async fn respond_stream<E: Engines>(
     mut driver: Driver<E>,
     mut meter: Meter,
-    entered: InFlight,
+    guard: InFlight,
 ) -> Response {
     let first = match driver.next().await {
         Some(Piece::Failed(problem)) => return failed(&problem, &mut meter),
@@ -222,11 +226,11 @@
     };
     count(&first, &mut meter);
     let first = render(&driver, &first);
-    let state = (driver, meter, entered);
-    let rest = stream::unfold(state, |(mut driver, mut meter, entered)| async {
+    let state = (driver, meter, guard);
+    let rest = stream::unfold(state, |(mut driver, mut meter, guard)| async {
         let piece = driver.next().await?;
         count(&piece, &mut meter);
-        Some((render(&driver, &piece), (driver, meter, entered)))
+        Some((render(&driver, &piece), (driver, meter, guard)))
     });
     let events = stream::once(async { first }).chain(rest);
     let frames = events.map(|bytes| Ok(http_body::Frame::data(bytes)));
@@ -245,12 +249,12 @@
     }
 }
 
-/// Writes a piece as server-sent events.
+/// Formats a piece as server-sent events.
 fn render<E: Engines>(driver: &Driver<E>, piece: &Piece) -> Bytes {
     let mut out = String::new();
     match piece {
-        Piece::Tokens(tokens) => tokens.iter().for_each(|t| token(&mut out, driver.job(), t)),
-        Piece::Finish(reason) => finish(&mut out, driver, *reason),
+        Piece::Tokens(tokens) => tokens.iter().for_each(|t| write_token(&mut out, driver.job(), t)),
+        Piece::Finish(reason) => write_finish(&mut out, driver, *reason),
         Piece::Failed(problem) => {
             let data = serde_json::to_string(problem).expect("wire types always serialize");
             write!(out, "event: error\ndata: {data}\n\n").expect("writing to a String can't fail");
@@ -259,19 +263,19 @@
     out.into()
 }
 
-fn token(out: &mut String, job: &Job, token: &Delivered) {
+fn write_token(out: &mut String, job: &Job, token: &Delivered) {
     let choice = Choice { index: 0, text: token.text.as_str().into(), finish_reason: None };
-    event(out, &token.id, job, choice, None);
+    write_event(out, &token.id, job, choice, None);
 }
 
-fn finish<E: Engines>(out: &mut String, driver: &Driver<E>, reason: FinishReason) {
+fn write_finish<E: Engines>(out: &mut String, driver: &Driver<E>, reason: FinishReason) {
     let choice = Choice { index: 0, text: String::new(), finish_reason: Some(reason) };
     let usage = Some(Usage { completion_tokens: driver.tokens() });
-    event(out, &driver.event_id(), driver.job(), choice, usage);
+    write_event(out, &driver.event_id(), driver.job(), choice, usage);
     write!(out, "data: {DONE}\n\n").expect("writing to a String can't fail");
 }
 
-fn event(out: &mut String, id: &str, job: &Job, choice: Choice, usage: Option<Usage>) {
+fn write_event(out: &mut String, id: &str, job: &Job, choice: Choice, usage: Option<Usage>) {
     let choices = vec![choice];
     let (request, model) = (job.request.clone(), job.model.clone());
     let data = Completion { id: request, model, choices, usage };
--- a/src/traffic/strays.rs
+++ b/src/traffic/fallback.rs
@@ -1,4 +1,4 @@
-//! Requests that no handler takes: unknown paths, other methods, headers that are too large.
+//! Rejection of requests before a handler runs: unknown paths, unsupported methods, oversized headers.
 
 use {
     super::problem::{self, Kind, not_run},
@@ -8,14 +8,14 @@
     },
 };
 
-/// Most bytes of all header names and values. The HTTP library takes 400 KiB and 100 lines, which
-/// 32,000 requests at once would turn into gigabytes.
-const HEADER_BYTES: usize = 16 << 10;
+/// Maximum total size of header names and values, in bytes. The HTTP library accepts 400 KiB and 100
+/// lines, which would amount to gigabytes for 32,000 concurrent requests.
+const MAX_HEADER_BYTES: usize = 16 << 10;
 
-/// Refuses a request whose headers are too large, whatever its path.
+/// Rejects a request whose headers are too large, for any path.
 pub async fn check_headers(cx: &mut ServerContext, request: Request, next: Next) -> Response {
-    if size(request.headers()) > HEADER_BYTES {
-        let detail = format!("send at most {} KiB of headers", HEADER_BYTES >> 10);
+    if size(request.headers()) > MAX_HEADER_BYTES {
+        let detail = format!("the headers exceed {} KiB", MAX_HEADER_BYTES >> 10);
         return problem::response(&not_run(Kind::HeadersTooLarge, detail));
     }
     match next.run(cx, request).await {
@@ -24,25 +24,25 @@
     }
 }
 
-/// Refuses an unknown path.
+/// Rejects an unknown path.
 pub async fn not_found() -> Response {
-    let detail = "the paths are /v1/addresses, /v1/completions, /v1/services/ENTRY/PATH, /healthz \
+    let detail = "the available paths are /v1/addresses, /v1/completions, /v1/services/ENTRY/PATH, /healthz \
                   and /readyz";
     problem::response(&not_run(Kind::NotFound, detail))
 }
 
-/// Refuses a method at a path that takes only GET.
+/// Rejects other methods for a path that supports only GET.
 pub async fn only_get() -> Response {
-    only(&Method::GET)
+    method_not_allowed(&Method::GET)
 }
 
-/// Refuses a method at a path that takes only POST.
+/// Rejects other methods for a path that supports only POST.
 pub async fn only_post() -> Response {
-    only(&Method::POST)
+    method_not_allowed(&Method::POST)
 }
 
-fn only(method: &Method) -> Response {
-    let detail = format!("this path takes only {method}");
+fn method_not_allowed(method: &Method) -> Response {
+    let detail = format!("this path supports only {method}");
     let mut response = problem::response(&not_run(Kind::MethodNotAllowed, detail));
     let allow = HeaderValue::from_str(method.as_str()).expect("a method is a token");
     response.headers_mut().insert(ALLOW, allow);
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -1,4 +1,4 @@
-//! A granted runner, held for the time of one attempt.
+//! A granted runner, held for the duration of one attempt.
 
 use {
     crate::{
@@ -18,30 +18,30 @@
     tokio::time::Instant,
 };
 
-/// A granted runner, given back to the core when dropped. A caller can leave at any await; without
-/// this the core would count the request as running for ever.
+/// A granted runner, returned to the core when dropped. A caller can disconnect at any await point;
+/// without this guard the core would count the request as running forever.
 pub struct Lease {
-    /// What was granted.
+    /// The grant.
     pub grant: Grant,
-    /// What came of it so far; a drop before anything did means that the caller left.
+    /// Result so far. Initially `Cancelled`: a drop at that point means that the caller disconnected.
     pub verdict: Verdict,
-    /// Time from the grant to the first token or the answer's head.
+    /// Time from the grant to the first token or to the head of the response.
     pub first: Option<Duration>,
-    /// Whether another runner will be asked for.
+    /// Whether another runner will be requested.
     pub will_retry: bool,
-    /// Set when an answer that came whole says that the runner failed.
+    /// Whether the runner sent a complete response with a server error.
     pub failed: bool,
-    /// Time spent waiting for tokens after the first. A caller that reads slowly holds the stream
-    /// back, and its time must not count as the runner's.
+    /// Time spent waiting for tokens after the first. It excludes back-pressure from a slow caller, which
+    /// must not count against the runner.
     pub waited: Duration,
     trial: Option<Trial>,
     control: Control,
-    since: Instant,
+    granted_at: Instant,
     tokens: u32,
 }
 
 impl Lease {
-    /// Holds a grant that was just made.
+    /// Creates a lease for a new grant.
     pub fn new(control: Control, grant: Grant, trial: Option<Trial>) -> Lease {
         control.metrics().add(Counter::Sends, 1);
         Lease {
@@ -53,21 +53,21 @@
             waited: Duration::ZERO,
             trial,
             control,
-            since: Instant::now(),
+            granted_at: Instant::now(),
             tokens: 0,
         }
     }
 
     /// Counts a token.
-    pub fn count(&mut self) {
+    pub fn count_token(&mut self) {
         self.tokens += 1;
         self.mark_started();
     }
 
-    /// Notes that the runner has begun to answer.
+    /// Records that the runner has started to respond.
     pub fn mark_started(&mut self) {
         if self.first.is_none() {
-            self.first = Some(self.since.elapsed());
+            self.first = Some(self.granted_at.elapsed());
             self.control.send(Event::Begun(self.grant.ticket));
         }
     }
@@ -76,11 +76,11 @@
 impl Lease {
     /// Returns the result of the attempt; `None` if the caller disconnected.
     fn result(&self) -> Option<AttemptResult> {
-        let between = self.tokens.checked_sub(1).filter(|n| *n > 0);
+        let intervals = self.tokens.checked_sub(1).filter(|n| *n > 0);
         (self.verdict != Verdict::Cancelled).then(|| AttemptResult {
             ok: self.verdict == Verdict::Ok && !self.failed,
             first: self.first,
-            pace: between.map(|n| self.waited / n),
+            pace: intervals.map(|n| self.waited / n),
             runner: self.grant.runner.data().as_ffi(),
         })
     }
@@ -88,7 +88,7 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        if let Some(counter) = failure(self.verdict) {
+        if let Some(counter) = failure_counter(self.verdict) {
             self.control.metrics().add(counter, 1);
         }
         if let Some((trial, result)) = self.trial.take().zip(self.result()) {
@@ -104,8 +104,8 @@
     }
 }
 
-/// Where a runner's failure is counted.
-fn failure(verdict: Verdict) -> Option<Counter> {
+/// Returns the counter for a runner's failure.
+fn failure_counter(verdict: Verdict) -> Option<Counter> {
     match verdict {
         Verdict::Ok | Verdict::Cancelled => None,
         Verdict::Broken => Some(Counter::RunnerBroken),
--- a/src/traffic/meter.rs
+++ b/src/traffic/meter.rs
@@ -1,4 +1,4 @@
-//! Counts one request of a caller, whatever comes of it.
+//! Metrics of one request.
 
 use {
     crate::metrics::{Counter, Metrics, Timing},
@@ -6,36 +6,42 @@
     tokio::time::Instant,
 };
 
-/// A request being counted; one that is dropped before its end was left by its caller.
+/// The metrics of a request. If it is dropped before its end, the request counts as abandoned by its
+/// caller.
 pub struct Meter {
     metrics: Metrics,
     since: Instant,
-    begun: bool,
-    ended: bool,
+    has_tokens: bool,
+    has_ended: bool,
 }
 
 impl Meter {
-    /// Counts a request that has just come.
+    /// Counts a request that was just received.
     pub fn start(metrics: &Metrics) -> Meter {
         metrics.add(Counter::Requests, 1);
-        Meter { metrics: metrics.clone(), since: Instant::now(), begun: false, ended: false }
+        Meter {
+            metrics: metrics.clone(),
+            since: Instant::now(),
+            has_tokens: false,
+            has_ended: false,
+        }
     }
 
-    /// Counts tokens on their way to the caller.
+    /// Counts tokens that are sent to the caller.
     pub fn tokens(&mut self, count: usize) {
         self.metrics.add(Counter::Tokens, count as u64);
-        if !self.begun {
-            self.begun = true;
+        if !self.has_tokens {
+            self.has_tokens = true;
             self.metrics.time(Timing::FirstToken, self.since.elapsed());
         }
     }
 
-    /// The whole answer went to the caller.
+    /// Counts the request as completed.
     pub fn complete(&mut self) {
         self.end(Counter::Completed);
     }
 
-    /// The request ended with a problem.
+    /// Counts the request as ended with a problem.
     pub fn problem(&mut self, problem: &Problem) {
         self.end(match problem.run {
             Run::NotRun => Counter::Refused,
@@ -45,7 +51,7 @@
     }
 
     fn end(&mut self, counter: Counter) {
-        self.ended = true;
+        self.has_ended = true;
         self.metrics.add(counter, 1);
         self.metrics.time(Timing::Request, self.since.elapsed());
     }
@@ -53,7 +59,7 @@
 
 impl Drop for Meter {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.has_ended {
             self.metrics.add(Counter::Abandoned, 1);
         }
     }
--- a/src/traffic/problem.rs
+++ b/src/traffic/problem.rs
@@ -1,4 +1,4 @@
-//! Error answers.
+//! Error responses: problem documents.
 
 use {
     bilberryfront_decide::action::{Reason, Refuse},
@@ -12,43 +12,43 @@
 /// Kinds of problem. Each has one status and one title.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// No key, or an unknown one.
+    /// The key is missing or unknown.
     Unauthorized,
-    /// Nothing is at the path.
+    /// The path doesn't exist.
     NotFound,
-    /// The path takes other methods.
+    /// The path supports other methods only.
     MethodNotAllowed,
-    /// The headers are larger than this face allows.
+    /// The headers are larger than this API allows.
     HeadersTooLarge,
     /// The account may not use the entry.
     Forbidden,
-    /// No such entry.
+    /// The entry doesn't exist.
     UnknownEntry,
-    /// The request is not what the page of this face describes.
+    /// The request is malformed.
     BadRequest,
     /// The body is larger than the entry allows.
     TooLarge,
-    /// The body came too slowly.
+    /// The body was not received in time.
     SlowBody,
-    /// The event id or the text sent back isn't of this request.
+    /// The event id or the text sent for the resume doesn't belong to this request.
     ResumeMismatch,
     /// The account's limit is reached.
     AccountLimit,
-    /// The entry's limit is reached, or the wait would be too long.
+    /// The entry's limit is reached, or the expected wait is too long.
     Overloaded,
-    /// No runner can take it now.
+    /// No runner is available.
     NoRunner,
-    /// The node is starting or leaving.
+    /// The node is starting or draining.
     NotServing,
-    /// Part of the answer came, the rest won't.
+    /// The response ended before it was complete.
     Cut,
-    /// The runner refused the request itself.
+    /// The runner rejected the request as invalid.
     RunnerRefused,
-    /// An idempotency key came with another call before.
+    /// The idempotency key was used before for another call.
     KeyMismatch,
-    /// The platform's table can't be reached, and the call needs it.
+    /// The platform's table service is unavailable, and the call requires it.
     StoreDown,
-    /// A call that may run at most once may have run.
+    /// It is unknown whether a call that may run at most once has run.
     OutcomeUnknown,
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-/// A problem of which nothing was run and for which asking again doesn't help.
+/// Returns a problem for a request that was not run and for which a retry doesn't help.
 pub fn not_run(kind: Kind, detail: impl Into<String>) -> Problem {
     Problem {
         kind: format_compact!("/problems/{}", kind.name()),
@@ -133,13 +133,13 @@
     }
 }
 
-/// The same problem, with the time after which asking again may help.
+/// Returns the problem with the time after which a retry may succeed.
 pub fn with_retry_after(mut problem: Problem, after: Duration) -> Problem {
     problem.retry_after = Some(whole_seconds(after));
     problem
 }
 
-/// The answer that carries a problem.
+/// Returns the response with a problem document.
 pub fn response(problem: &Problem) -> Response {
     let body = serde_json::to_vec(problem).expect("wire types always serialize");
     let mut builder =
@@ -153,16 +153,20 @@
     builder.body(Body::from(body)).expect("statuses and headers are constants")
 }
 
-/// Problem document for a rejection by the core.
+/// Returns the problem for a rejection by the core.
 pub fn refusal(refuse: &Refuse) -> Problem {
     let (kind, detail) = match refuse.reason {
-        Reason::NoEntry => (Kind::UnknownEntry, "the entry was just taken out of the catalogue"),
-        Reason::NoAccess => (Kind::Forbidden, "ask the entry's owner for access"),
-        Reason::AccountLimit => (Kind::AccountLimit, "wait until some of your requests have ended"),
-        Reason::EntryLimit => (Kind::Overloaded, "the entry's limit and its queue are full"),
-        Reason::Late => (Kind::Overloaded, "the wait would be longer than the entry allows"),
-        Reason::NoRunner => (Kind::NoRunner, "no live runner of the entry's version"),
-        Reason::NoBudget => (Kind::NoRunner, "too many requests are being tried again"),
+        Reason::NoEntry => (Kind::UnknownEntry, "the entry was removed from the catalogue"),
+        Reason::NoAccess => (Kind::Forbidden, "request access from the entry's owner"),
+        Reason::AccountLimit => {
+            (Kind::AccountLimit, "wait until some of the account's requests have completed")
+        }
+        Reason::EntryLimit => {
+            (Kind::Overloaded, "the entry's concurrency limit is reached and its queue is full")
+        }
+        Reason::Late => (Kind::Overloaded, "the expected wait is longer than the entry allows"),
+        Reason::NoRunner => (Kind::NoRunner, "no runner of the entry's version is available"),
+        Reason::NoBudget => (Kind::NoRunner, "the retry budget is exhausted"),
     };
     let problem = not_run(kind, detail);
     match refuse.retry {
--- a/src/traffic/send.rs
+++ b/src/traffic/send.rs
@@ -1,9 +1,9 @@
-//! Sends a non-idempotent call to a runner exactly once.
+//! Sends a non-idempotent call to a runner at most once.
 //!
-//! A request whose bytes may have left is never sent again, neither here nor by the HTTP pool:
-//! each call gets a connection of its own, which is closed after it. On a kept-alive connection
-//! that the runner is just closing, the request would be lost without a sign whether it ran, and
-//! every such call would end as "unknown".
+//! A request of which bytes may have been sent is never sent again, neither here nor by the HTTP
+//! client's connection pool: each call uses a new connection, which is closed afterwards. On a
+//! kept-alive connection that the runner is closing, the request could be lost without an indication
+//! whether it ran, and every such call would end as "unknown".
 
 use {
     crate::platform::http::is_unsent,
@@ -21,11 +21,11 @@
     volo_http::{body::Body, client::Client, error::client::ClientError},
 };
 
-/// Longest wait for a connection.
+/// Maximum time to connect to a runner.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest answer, in bytes.
-const ANSWER_MAX: usize = 8 << 20;
-/// Headers that concern one connection only.
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -39,49 +39,49 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// A call as it goes to the runner.
+/// A call to be sent to a runner.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
     /// Method.
     pub method: Method,
-    /// Whole URL at the runner.
+    /// Full URL at the runner.
     pub url: String,
-    /// The caller's headers; those of its connection are left out.
+    /// The caller's headers; hop-by-hop headers are removed when the call is sent.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A runner's whole answer.
+/// A runner's complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// Status.
     pub status: StatusCode,
-    /// Headers but those of the connection.
+    /// Headers, except hop-by-hop headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// What came of sending.
+/// Result of sending a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Sent {
-    /// The runner answered, with whatever status.
+    /// The runner responded, with any status.
     Answer(Reply),
-    /// No byte can have left: there was no connection.
+    /// No byte was sent, because no connection was established.
     NotSent(String),
     /// The request may have reached the runner.
     Unknown(String),
 }
 
-/// Sends calls to runners; tests put a fake in its place.
+/// Sends calls to runners; tests replace it by a fake.
 pub trait Exchange: Clone + Send + Sync + 'static {
-    /// Sends the call and waits at most `wait` for the whole answer. Dropping this future cuts the
-    /// connection, and the call may have run: spawn it when the caller may leave.
+    /// Sends the call and waits at most `wait` for the complete response. Dropping this future closes
+    /// the connection, although the call may have run: spawn it if the caller may disconnect.
     fn send(&self, call: Outgoing, wait: Duration) -> impl Future<Output = Sent> + Send;
 }
 
-/// Sends calls, each on a new connection. Cheap to clone.
+/// Sends each call on a new connection. Cheap to clone.
 #[derive(Clone)]
 pub struct Sender {
     client: Client,
@@ -99,7 +99,7 @@
     async fn send(&self, call: Outgoing, wait: Duration) -> Sent {
         match timeout(wait, self.exchange(call)).await {
             Ok(sent) => sent,
-            Err(_) => Sent::Unknown("no answer in time".into()),
+            Err(_) => Sent::Unknown("the runner did not respond within the timeout".into()),
         }
     }
 }
@@ -107,11 +107,11 @@
 impl Sender {
     async fn exchange(&self, call: Outgoing) -> Sent {
         let Outgoing { method, url, mut headers, body } = call;
-        strip(&mut headers);
+        remove_hop_by_hop(&mut headers);
         headers.remove(HOST);
         headers.remove(CONTENT_LENGTH);
-        // A pool that may keep no idle connection isn't enough: it still hands one that becomes idle
-        // to a request that waits for a new one. A connection that is to be closed never is idle.
+        // Disabling idle connections in the pool isn't enough: it still passes a connection that becomes
+        // idle to a request that waits for a new one. A connection with `close` never becomes idle.
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
         let mut request = self.client.request(method, url).body(Body::from(body));
         request.headers_mut().extend(headers);
@@ -124,8 +124,8 @@
 
 async fn read(response: http::Response<Body>) -> Sent {
     let (mut head, body) = response.into_parts();
-    strip(&mut head.headers);
-    match Limited::new(body, ANSWER_MAX).collect().await {
+    remove_hop_by_hop(&mut head.headers);
+    match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(body) => Sent::Answer(Reply {
             status: head.status,
             headers: head.headers,
@@ -135,8 +135,8 @@
     }
 }
 
-/// Removes the headers of one connection: the usual ones, and those that `Connection` names.
-fn strip(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers: the standard ones, and those that `Connection` names.
+fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/src/traffic/services.rs
+++ b/src/traffic/services.rs
@@ -1,4 +1,4 @@
-//! `ANY /v1/services/{entry}/{path}`: plain services.
+//! `ANY /v1/services/{entry}/{path}`: calls to plain services.
 
 pub mod job;
 pub mod once;
@@ -19,27 +19,27 @@
     volo_http::{body::Body, request::Request, response::Response, utils::Extension},
 };
 
-/// A result whose error is the answer to the caller.
+/// A result whose error is the response to the caller.
 pub type Result<T> = std::result::Result<T, Problem>;
 
-/// Header that names a call that may run at most once.
+/// Header with the key of a call that may run at most once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// What it takes to call plain services.
+/// Dependencies of calls to plain services.
 #[derive(Clone)]
 pub struct Services<T, X> {
     /// The control thread.
     pub control: Control,
     /// Claims of calls that may run at most once.
     pub intents: Intents<T>,
-    /// How calls are sent.
+    /// Sends calls to runners.
     pub sender: X,
 }
 
-/// Routes a call to a runner of the entry that its path names.
+/// Handles a call by sending it to a runner of the entry named in its path.
 pub async fn call(Extension(traffic): Extension<Traffic>, request: Request) -> Response {
     let mut meter = Meter::start(traffic.control.metrics());
-    match routed(traffic, request).await {
+    match route(traffic, request).await {
         Ok(reply) => {
             meter.complete();
             response(reply)
@@ -51,20 +51,20 @@
     }
 }
 
-async fn routed(traffic: Traffic, request: Request) -> Result<Reply> {
-    let entered = traffic.begin_request()?;
+async fn route(traffic: Traffic, request: Request) -> Result<Reply> {
+    let guard = traffic.begin_request()?;
     let (head, body) = request.into_parts();
     let view = traffic.control.view();
     let account = auth::account(&view.catalog, &head.headers)?;
     let job = Job::read(&view.catalog, account, &head, body).await?;
-    let key = header(&head.headers);
+    let key = idempotency_key(&head.headers);
     match plan(head.method.as_str(), key).map_err(bad_key)? {
         Plan::Repeat => repeat::run(&traffic.services, &job).await,
-        Plan::Once(key) => once::run(traffic.services, job, key.into(), entered).await,
+        Plan::Once(key) => once::run(traffic.services, job, key.into(), guard).await,
     }
 }
 
-fn header(headers: &HeaderMap) -> Option<&[u8]> {
+fn idempotency_key(headers: &HeaderMap) -> Option<&[u8]> {
     headers.get(IDEMPOTENCY_KEY).map(|value| value.as_bytes())
 }
 
--- a/src/traffic/services/job.rs
+++ b/src/traffic/services/job.rs
@@ -1,4 +1,4 @@
-//! One caller's call to a plain service.
+//! A caller's call to a plain service.
 
 use {
     super::Result,
@@ -27,12 +27,12 @@
     volo_http::body::Body,
 };
 
-/// Beginning of the paths of this face.
+/// Prefix of the paths of calls to services.
 const PREFIX: &str = "/v1/services/";
-/// Header that tells the service whose call it is.
+/// Header with the account of the call, for the service.
 const ACCOUNT: HeaderName = HeaderName::from_static("bilberryfront-account");
 
-/// A call that was read and checked.
+/// A received and validated call.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Limits of the entry.
@@ -53,7 +53,7 @@
 }
 
 impl Job {
-    /// Reads and checks a call.
+    /// Receives and validates a call.
     pub async fn read(
         catalog: &Catalog,
         account: AccountKey,
@@ -64,7 +64,7 @@
         let (key, entry) = access::find(catalog, account, name, Kind::Service)?;
         let names = Names { entry: name.into(), account: catalog.accounts[account].name.clone() };
         let mut headers = head.headers.clone();
-        // The caller's key is for this system alone.
+        // The caller's key must not be passed to services.
         headers.remove(AUTHORIZATION);
         let value = HeaderValue::from_str(&names.account);
         headers.insert(ACCOUNT, value.unwrap_or(HeaderValue::from_static("unnamed")));
@@ -80,7 +80,7 @@
         })
     }
 
-    /// The call as it goes to a runner at `url`.
+    /// Returns the call for the runner at `url`.
     pub fn outgoing(&self, url: &str) -> Outgoing {
         Outgoing {
             method: self.method.clone(),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What the core is asked for it.
+    /// Returns the request to the core for a runner of the call.
     pub fn ask(
         &self,
         ticket: Ticket,
@@ -102,14 +102,14 @@
         Ask { ticket, entry, account, prefix: None, pin, avoid, purpose }
     }
 
-    /// Chooses the version that the call goes to.
+    /// Chooses the version for the call.
     pub fn chooser(&self, view: &View) -> Chooser {
         let first = self.path.split(['/', '?']).nth(1).unwrap_or_default();
         let route = format_compact!("{} /{first}", self.method);
         Chooser::new(view, self.entry, self.account, route, rand::random())
     }
 
-    /// The identity under which it runs at most once.
+    /// Returns the identity under which the call runs at most once.
     pub fn call(&self, key: CompactString) -> Call {
         Call {
             account: self.names.account.clone(),
@@ -120,11 +120,12 @@
     }
 }
 
-/// The entry's name, and the path and query for its runner.
+/// Splits the path into the entry's name and the path and query for its runner.
 fn split(head: &Parts) -> Result<(&str, String)> {
-    let form = || not_run(ProblemKind::BadRequest, "the path is /v1/services/ENTRY/PATH");
-    let rest = head.uri.path().strip_prefix(PREFIX).ok_or_else(form)?;
-    let (name, path) = rest.split_once('/').ok_or_else(form)?;
+    let bad_path =
+        || not_run(ProblemKind::BadRequest, "expected a path of the form /v1/services/ENTRY/PATH");
+    let rest = head.uri.path().strip_prefix(PREFIX).ok_or_else(bad_path)?;
+    let (name, path) = rest.split_once('/').ok_or_else(bad_path)?;
     let query = head.uri.query().map(|q| format!("?{q}")).unwrap_or_default();
     Ok((name, format!("/{path}{query}")))
 }
--- a/src/traffic/services/once.rs
+++ b/src/traffic/services/once.rs
@@ -25,82 +25,82 @@
     tokio::time::Instant,
 };
 
-/// Most runners tried while no connection can be made.
-const TRIES: u32 = 3;
-/// Time after which no further runner is tried. Finding out that a connection can't be made takes a
-/// second, and the table may be slow: three tries took the caller seven seconds, in which it could have
-/// come back to a node that reaches more.
-const TRY_FOR: Duration = Duration::from_millis(1_500);
-/// When to ask again for a call whose outcome isn't known yet.
+/// Maximum number of runners tried while no connection can be established.
+const MAX_ATTEMPTS: u32 = 3;
+/// Time after which no further runner is tried. A connection time-out takes a second, and the table may
+/// be slow: three attempts could take seven seconds, in which the caller could have retried at a node that
+/// reaches more runners.
+const ATTEMPTS_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// `Retry-After` for a call whose outcome isn't known yet.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Runs a call at most once, or answers what came of it before.
+/// Runs a call at most once, or returns its recorded outcome.
 ///
-/// The work goes on when the caller leaves: a call cut off in the middle would end as `unknown`
-/// although its runner answers a moment later, and the caller's retry could never learn it.
-/// `entered` is held as long as the work goes on, so that the node doesn't exit in its middle.
+/// The call continues if the caller disconnects: an aborted call would be recorded as `unknown` although
+/// its runner responds a moment later, and the caller's retry could never get that response. `guard` is
+/// held until the call has ended, so that the node doesn't exit before.
 pub async fn run<T: Table, X: Exchange>(
     services: Services<T, X>,
     job: Job,
     key: CompactString,
-    entered: impl Send + 'static,
+    guard: impl Send + 'static,
 ) -> Result<Reply> {
-    let work = tokio::spawn(async move {
-        let answer = work(&services, &job, job.call(key)).await;
-        drop(entered);
-        answer
+    let task = tokio::spawn(async move {
+        let result = run_call(&services, &job, job.call(key)).await;
+        drop(guard);
+        result
     });
-    work.await.unwrap_or_else(|_| Err(unknown("the call broke off inside the node")))
+    task.await.unwrap_or_else(|_| Err(unknown("the call was aborted inside the node")))
 }
 
-async fn work<T: Table, X: Exchange>(
+async fn run_call<T: Table, X: Exchange>(
     services: &Services<T, X>,
     job: &Job,
     call: Call,
 ) -> Result<Reply> {
-    let since = Instant::now();
+    let started_at = Instant::now();
     let mut avoid = None;
     let mut chooser = job.chooser(&services.control.view());
-    for _ in 0..TRIES {
-        let lease = match grant(services, job, avoid, &mut chooser).await {
+    for _ in 0..MAX_ATTEMPTS {
+        let lease = match acquire(services, job, avoid, &mut chooser).await {
             Ok(lease) => lease,
-            Err(problem) => return refused(services, &call, problem).await,
+            Err(problem) => return no_runner(services, &call, problem).await,
         };
         let (lease, permit) = match services.intents.claim(call.clone()).await {
             Claim::Granted(permit) => (lease, permit),
             Claim::Busy(_) => {
                 drop(lease);
                 match wait(services, job, &call, &mut chooser).await {
-                    Ok(taken) => taken,
-                    Err(answer) => return answer,
+                    Ok(claimed) => claimed,
+                    Err(result) => return result,
                 }
             }
-            known => return settled(known),
+            other => return result_of_claim(other),
         };
         match send(services, job, lease, permit).await {
-            Attempt::Answered(answer) => return answer,
-            Attempt::Unsent(_) if since.elapsed() >= TRY_FOR => break,
+            Attempt::Ended(result) => return result,
+            Attempt::Unsent(_) if started_at.elapsed() >= ATTEMPTS_TIMEOUT => break,
             Attempt::Unsent(runner) => avoid = Some(runner),
         }
     }
-    let problem = not_run(Kind::NoRunner, "no runner took a connection");
+    let problem = not_run(Kind::NoRunner, "no connection to a runner could be established");
     Err(problem::with_retry_after(problem, RETRY_AFTER))
 }
 
-/// Answers a call that no runner can take now. An earlier request with its key may have run, and
-/// a plain refusal would say "not run" of it.
-async fn refused<T: Table, X: Exchange>(
+/// Returns the result of a call for which no runner is available. An earlier request with its key may
+/// have run, in which case `problem` would wrongly report it as "not run".
+async fn no_runner<T: Table, X: Exchange>(
     services: &Services<T, X>,
     call: &Call,
     problem: Problem,
 ) -> Result<Reply> {
     match services.intents.peek(call).await {
         Claim::NotRun(_) => Err(problem),
-        known => settled(known),
+        other => result_of_claim(other),
     }
 }
 
-async fn grant<T: Table, X: Exchange>(
+async fn acquire<T: Table, X: Exchange>(
     services: &Services<T, X>,
     job: &Job,
     avoid: Option<RunnerKey>,
@@ -118,8 +118,8 @@
     }
 }
 
-/// Waits for the outcome of the same call at another place, holding no runner meanwhile. Where the
-/// other provably didn't run it, this one may.
+/// Waits, without holding a runner, for the outcome of the same call by another request. If that
+/// request certainly didn't run the call, claims the call and acquires a runner.
 async fn wait<T: Table, X: Exchange>(
     services: &Services<T, X>,
     job: &Job,
@@ -129,9 +129,9 @@
     let timeout = Duration::from_millis(job.limits.call_ms.into());
     let permit = match services.intents.wait(call, timeout).await {
         Claim::Granted(permit) => permit,
-        known => return Err(settled(known)),
+        other => return Err(result_of_claim(other)),
     };
-    match grant(services, job, None, chooser).await {
+    match acquire(services, job, None, chooser).await {
         Ok(lease) => Ok((lease, permit)),
         Err(problem) => {
             services.intents.settle(permit, Outcome::NotRun).await;
@@ -141,9 +141,9 @@
 }
 
 enum Attempt {
-    /// The runner may have run it; final.
-    Answered(Result<Reply>),
-    /// Provably not run, and recorded as such.
+    /// The final result; the runner may have run the call.
+    Ended(Result<Reply>),
+    /// Certainly not run, and recorded as such.
     Unsent(RunnerKey),
 }
 
@@ -155,8 +155,11 @@
 ) -> Attempt {
     if !permit.begin() {
         services.intents.settle(permit, Outcome::NotRun).await;
-        let problem = not_run(Kind::NoRunner, "the node was paused for too long to send safely");
-        return Attempt::Answered(Err(problem::with_retry_after(problem, RETRY_AFTER)));
+        let problem = not_run(
+            Kind::NoRunner,
+            "the node was paused too long after its claim to send the call safely",
+        );
+        return Attempt::Ended(Err(problem::with_retry_after(problem, RETRY_AFTER)));
     }
     let wait = Duration::from_millis(job.limits.call_ms.into());
     match services.sender.send(job.outgoing(&lease.grant.url), wait).await {
@@ -166,7 +169,7 @@
             lease.failed = reply.status.is_server_error();
             let kept = answer::keep(reply.status.as_u16(), &reply.headers, &reply.body);
             record(services, permit, Outcome::Answer(kept));
-            Attempt::Answered(Ok(reply))
+            Attempt::Ended(Ok(reply))
         }
         Sent::NotSent(_) => {
             lease.verdict = Verdict::Broken;
@@ -174,49 +177,53 @@
             services.intents.settle(permit, Outcome::NotRun).await;
             Attempt::Unsent(runner)
         }
-        Sent::Unknown(why) => {
+        Sent::Unknown(error) => {
             lease.verdict = Verdict::Broken;
             record(services, permit, Outcome::Unknown);
-            Attempt::Answered(Err(unknown(format!("the runner may have run it: {why}"))))
+            Attempt::Ended(Err(unknown(format!("the runner may have run the call: {error}"))))
         }
     }
 }
 
-/// Records an outcome while the caller gets its answer already. Should the record fail, a retry
-/// hears `unknown`, which is no promise broken.
+/// Records an outcome in the background, so that the caller's response isn't delayed. If recording
+/// fails, a retry gets `unknown`, which at-most-once execution permits.
 fn record<T: Table, X: Exchange>(services: &Services<T, X>, permit: Permit, outcome: Outcome) {
     let intents = services.intents.clone();
     tokio::spawn(async move { intents.settle(permit, outcome).await });
 }
 
-/// What the caller hears of a call that this request didn't send.
-fn settled(claim: Claim) -> Result<Reply> {
+/// Returns the result of a call that this request didn't send.
+fn result_of_claim(claim: Claim) -> Result<Reply> {
     match claim {
         Claim::Outcome(Outcome::Answer(kept)) => replay(&kept),
-        Claim::Outcome(_) => Err(unknown("the runner may have run it, and its answer was lost")),
+        Claim::Outcome(_) => {
+            Err(unknown("the runner may have run the call, and its response was lost"))
+        }
         Claim::Mismatch => {
-            let detail = "this Idempotency-Key came with another method, path or body before";
+            let detail = "this Idempotency-Key was used before with another method, path or body";
             Err(not_run(Kind::KeyMismatch, detail))
         }
-        Claim::NotRun(why) => {
-            let detail = format!("send it again with the same key: {why}");
+        Claim::NotRun(error) => {
+            let detail = format!("retry with the same key: {error}");
             Err(problem::with_retry_after(not_run(Kind::StoreDown, detail), RETRY_AFTER))
         }
         Claim::Busy(_) => {
-            let problem = unknown("the same call is under way; ask again with the same key");
+            let problem = unknown("the same call is in progress; retry with the same key");
             Err(problem::with_retry_after(problem, RETRY_AFTER))
         }
         Claim::Unknown => {
-            let problem = unknown("the table gave no answer; ask again with the same key");
+            let problem = unknown("the table service did not respond; retry with the same key");
             Err(problem::with_retry_after(problem, RETRY_AFTER))
         }
-        Claim::Granted(_) => unreachable!("a claim that is ours is sent"),
+        Claim::Granted(_) => unreachable!("a granted claim is sent"),
     }
 }
 
 fn replay(kept: &Answer) -> Result<Reply> {
     let Some(body) = answer::body(&kept.body) else {
-        return Err(unknown("it was run; its answer was too long to be kept for a retry"));
+        return Err(unknown(
+            "the call was run; its response was too long to be recorded for a retry",
+        ));
     };
     let headers = kept.headers.iter().filter_map(|(name, value)| {
         Some((HeaderName::try_from(name.as_str()).ok()?, HeaderValue::from_str(value).ok()?))
--- a/src/traffic/services/repeat.rs
+++ b/src/traffic/services/repeat.rs
@@ -1,4 +1,4 @@
-//! Calls that may be sent again, to another runner too.
+//! Calls that may be retried, also at another runner.
 
 use {
     super::{Result, Services, job::Job},
@@ -21,21 +21,21 @@
     tokio::time::Instant,
 };
 
-/// Most runners tried for one call.
-const TRIES: u32 = 3;
-/// When a call that failed at every runner tried may come again.
+/// Maximum number of runners tried for one call.
+const MAX_ATTEMPTS: u32 = 3;
+/// `Retry-After` for a call that failed at every runner tried.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Sends a call until a runner answers it.
+/// Sends a call to one runner after another until one responds.
 pub async fn run<T: Table, X: Exchange>(services: &Services<T, X>, job: &Job) -> Result<Reply> {
     let mut ticket = services.control.next_ticket();
     let mut purpose = Purpose::First;
     let mut avoid: Option<RunnerKey> = None;
     let mut chooser = job.chooser(&services.control.view());
-    let most = Duration::from_millis(job.limits.call_ms.into());
-    // Counted from the first runner on: the wait for it has a bound of its own.
-    let mut until = None;
-    for tried in 1..=TRIES {
+    let timeout = Duration::from_millis(job.limits.call_ms.into());
+    // The timeout starts with the first granted runner: waiting for the grant has a limit of its own.
+    let mut deadline = None;
+    for attempt in 1..=MAX_ATTEMPTS {
         let pin = chooser.version().cloned();
         let grant = match services.control.ask(job.ask(ticket, purpose, avoid, pin)).await {
             Ok(grant) => grant,
@@ -43,13 +43,13 @@
                 (ticket, purpose) = (services.control.next_ticket(), Purpose::First);
                 continue;
             }
-            Err(refuse) if tried == 1 => return Err(problem::refusal(&refuse)),
+            Err(refuse) if attempt == 1 => return Err(problem::refusal(&refuse)),
             Err(refuse) => return Err(unknown(problem::refusal(&refuse))),
         };
         let mut lease = Lease::new(services.control.clone(), grant, chooser.trial());
         let now = Instant::now();
-        let until = *until.get_or_insert(now + most);
-        let wait = share(until.saturating_duration_since(now), tried);
+        let deadline = *deadline.get_or_insert(now + timeout);
+        let wait = attempt_timeout(deadline.saturating_duration_since(now), attempt);
         let sent = services.sender.send(job.outgoing(&lease.grant.url), wait).await;
         lease.verdict = match sent {
             Sent::Answer(reply) if reply.status != StatusCode::SERVICE_UNAVAILABLE => {
@@ -61,21 +61,23 @@
             Sent::Answer(_) => Verdict::Rejected,
             Sent::NotSent(_) | Sent::Unknown(_) => Verdict::Broken,
         };
-        lease.will_retry = tried < TRIES;
+        lease.will_retry = attempt < MAX_ATTEMPTS;
         avoid = Some(lease.grant.runner);
         purpose = Purpose::Again;
     }
-    let problem = not_run(Kind::NoRunner, format!("{TRIES} runners failed to answer"));
+    let problem =
+        not_run(Kind::NoRunner, format!("{MAX_ATTEMPTS} runners did not respond successfully"));
     Err(unknown(problem::with_retry_after(problem, RETRY_AFTER)))
 }
 
-/// Time for one try out of what is left for the call: half, or all for the last try.
+/// Returns the timeout of an attempt: half of the time left for the call, or all of it for the last
+/// attempt.
 ///
-/// A runner that was paused takes a call and says nothing. Were each try given the whole time, the
-/// caller would wait three times as long as the entry allows; were the first given all of it, no
-/// other runner could answer in its place.
-fn share(left: Duration, tried: u32) -> Duration {
-    if tried < TRIES { left / 2 } else { left }
+/// A paused runner accepts a call and doesn't respond. With the full timeout for each attempt, the caller
+/// would wait three times as long as the entry allows; with all of the time for the first attempt, no
+/// other runner could respond instead.
+fn attempt_timeout(left: Duration, attempt: u32) -> Duration {
+    if attempt < MAX_ATTEMPTS { left / 2 } else { left }
 }
 
 fn unknown(problem: Problem) -> Problem {
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -1,4 +1,5 @@
-//! Carries one generation from its runners to its caller, whatever happens to the runners.
+//! Streams one generation from its runners to its caller, and resumes it at another runner after a
+//! failure.
 
 mod job;
 mod open;
@@ -27,41 +28,41 @@
         runner::{Finish, Generate, Token},
     },
     compact_str::{CompactString, format_compact},
-    open::{Open, millis},
+    open::{OpenAttempt, millis},
     std::time::Duration,
     tokio::time::Instant,
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Most tokens handed on at once, when a runner is faster than the caller.
-const BATCH: usize = 64;
-/// When a caller of a cut stream may resume, if the core doesn't say.
+/// Maximum number of tokens returned at a time, if a runner is faster than the caller.
+const MAX_BATCH: usize = 64;
+/// `Retry-After` for a stream that ended early, if the core gives none.
 const RESUME_AFTER: Duration = Duration::from_secs(1);
 
-/// A generation on its way.
+/// Drives one generation.
 pub struct Driver<E: Engines> {
     control: Control,
     engines: E,
     job: Job,
     generation: Generation,
     text: String,
-    open: Option<Open<E::Stream>>,
+    current: Option<OpenAttempt<E::Stream>>,
     chooser: Chooser,
     purpose: Purpose,
     ticket: Ticket,
     avoid: Option<RunnerKey>,
-    /// Whether a runner may have had the request.
-    sent: bool,
-    /// When a runner was lost, until the next token.
-    lost: Option<Instant>,
-    ended: bool,
+    /// Whether a runner may have received the request.
+    is_sent: bool,
+    /// When a runner was lost; `None` after the next token.
+    lost_at: Option<Instant>,
+    has_ended: bool,
 }
 
 impl<E: Engines> Driver<E> {
-    /// A driver that has not asked for a runner yet.
+    /// Creates a driver that has not requested a runner yet.
     pub fn new(control: Control, engines: E, job: Job, generation: Generation) -> Driver<E> {
-        let resumed = generation.pin().is_some();
-        let chooser = match resumed {
+        let is_resumed = generation.pin().is_some();
+        let chooser = match is_resumed {
             true => Chooser::default(),
             false => {
                 let hash = xxh64(job.runner_request.as_bytes(), 0);
@@ -72,12 +73,12 @@
             chooser,
             ticket: control.next_ticket(),
             text: job.resumed_text.clone(),
-            open: None,
-            purpose: if resumed { Purpose::Resume } else { Purpose::First },
+            current: None,
+            purpose: if is_resumed { Purpose::Resume } else { Purpose::First },
             avoid: None,
-            sent: false,
-            lost: None,
-            ended: false,
+            is_sent: false,
+            lost_at: None,
+            has_ended: false,
             control,
             engines,
             job,
@@ -85,44 +86,44 @@
         }
     }
 
-    /// Tokens delivered so far, those before a resume included.
+    /// Returns the number of tokens delivered so far, including those before a resume.
     pub fn tokens(&self) -> u32 {
         self.generation.next()
     }
 
-    /// Text delivered so far, that before a resume included.
+    /// Returns the text delivered so far, including that before a resume.
     pub fn into_text(self) -> String {
         self.text
     }
 
-    /// Id of the last event delivered.
+    /// Returns the id of the last delivered event.
     pub fn event_id(&self) -> CompactString {
         format_compact!("{}", self.generation.event_id(&self.job.request))
     }
 
-    /// What was asked for.
+    /// Returns the request that is being generated.
     pub fn job(&self) -> &Job {
         &self.job
     }
 
-    /// The next piece; `None` after the last.
+    /// Returns the next piece, or `None` after the last.
     pub async fn next(&mut self) -> Option<Piece> {
-        while !self.ended {
-            let step = match self.open.take() {
-                // Boxed, as the HTTP client's future has some kilobytes, which the stream would
-                // otherwise hold for as long as it lasts.
-                None => Box::pin(self.ask()).await,
-                Some(open) => self.read(open).await,
+        while !self.has_ended {
+            let step = match self.current.take() {
+                // Boxed because the HTTP client's future takes several kilobytes, which the stream would
+                // otherwise hold as long as it lasts.
+                None => Box::pin(self.start_attempt()).await,
+                Some(attempt) => self.read(attempt).await,
             };
             if let Some(piece) = step {
-                self.ended = !matches!(piece, Piece::Tokens(_));
+                self.has_ended = !matches!(piece, Piece::Tokens(_));
                 return Some(piece);
             }
         }
         None
     }
 
-    async fn ask(&mut self) -> Option<Piece> {
+    async fn start_attempt(&mut self) -> Option<Piece> {
         let ask = Ask {
             ticket: self.ticket,
             entry: self.job.entry,
@@ -134,27 +135,27 @@
         };
         let grant = match self.control.ask(ask).await {
             Ok(grant) => grant,
-            Err(refuse) => return self.refused(&refuse),
+            Err(refuse) => return self.handle_rejection(&refuse),
         };
         if self.purpose == Purpose::Again {
             self.control.metrics().add(Counter::Resumes, 1);
         }
         self.purpose = Purpose::Again;
         let lease = Lease::new(self.control.clone(), grant, self.chooser.trial());
-        let generate = self.generate(&lease.grant);
+        let generate = self.runner_request(&lease.grant);
         let wait = millis(self.job.limits.first_ms);
         let opened = self.engines.open(&lease.grant.url, &generate, wait).await;
-        self.sent |= !matches!(opened, Err(Failure::Unsent));
+        self.is_sent |= !matches!(opened, Err(Failure::Unsent));
         match opened {
             Ok(upstream) => {
-                self.open = Some(Open { upstream, lease, event: None });
+                self.current = Some(OpenAttempt { upstream, lease, pending: None });
                 None
             }
-            Err(failure) => self.failed(failure, lease),
+            Err(failure) => self.handle_failure(failure, lease),
         }
     }
 
-    fn generate(&mut self, grant: &Grant) -> Generate {
+    fn runner_request(&mut self, grant: &Grant) -> Generate {
         let attempt = self.generation.granted(&grant.version);
         Generate {
             request: self.job.runner_request.clone(),
@@ -169,8 +170,8 @@
         }
     }
 
-    /// Reads until there is something to hand on, or the runner is lost.
-    async fn read(&mut self, mut open: Open<E::Stream>) -> Option<Piece> {
+    /// Reads until there is a piece for the caller, or the runner is lost.
+    async fn read(&mut self, mut open: OpenAttempt<E::Stream>) -> Option<Piece> {
         let mut batch = Vec::new();
         let mut event = open.wait(&self.job.limits).await;
         loop {
@@ -179,72 +180,81 @@
                     match self.generation.token(attempt, &token) {
                         Take::Deliver => batch.push(self.deliver(&mut open, token)),
                         Take::Drop => self.control.metrics().add(Counter::DroppedTokens, 1),
-                        Take::Garbled => return self.stop(open, batch, Verdict::Garbled),
+                        Take::Garbled => return self.abort(open, batch, Verdict::Garbled),
                     }
                 }
                 Ok(RunnerEvent::Finish(finish)) => {
                     if batch.is_empty() {
                         return self.finish(open, finish);
                     }
-                    open.event = Some(Ok(RunnerEvent::Finish(finish)));
-                    return self.hand_on(open, batch);
+                    open.pending = Some(Ok(RunnerEvent::Finish(finish)));
+                    return self.yield_batch(open, batch);
+                }
+                Ok(RunnerEvent::Done) => return self.abort(open, batch, Verdict::Garbled),
+                Err(failure) if batch.is_empty() => {
+                    return self.handle_failure(failure, open.lease);
                 }
-                Ok(RunnerEvent::Done) => return self.stop(open, batch, Verdict::Garbled),
-                Err(failure) if batch.is_empty() => return self.failed(failure, open.lease),
                 Err(failure) => {
-                    open.event = Some(Err(failure));
-                    return self.hand_on(open, batch);
+                    open.pending = Some(Err(failure));
+                    return self.yield_batch(open, batch);
                 }
             }
-            if batch.len() >= BATCH {
-                return self.hand_on(open, batch);
+            if batch.len() >= MAX_BATCH {
+                return self.yield_batch(open, batch);
             }
             event = match open.upstream.try_next() {
                 Some(event) => event,
                 None if batch.is_empty() => open.wait(&self.job.limits).await,
-                None => return self.hand_on(open, batch),
+                None => return self.yield_batch(open, batch),
             };
         }
     }
 
-    fn deliver(&mut self, open: &mut Open<E::Stream>, token: Token) -> Delivered {
-        open.lease.count();
-        if let Some(lost) = self.lost.take() {
-            self.control.metrics().time(Timing::Resume, lost.elapsed());
+    fn deliver(&mut self, open: &mut OpenAttempt<E::Stream>, token: Token) -> Delivered {
+        open.lease.count_token();
+        if let Some(lost_at) = self.lost_at.take() {
+            self.control.metrics().time(Timing::Resume, lost_at.elapsed());
         }
         self.text.push_str(&token.text);
         Delivered { id: self.event_id(), text: token.text }
     }
 
-    fn hand_on(&mut self, open: Open<E::Stream>, batch: Vec<Delivered>) -> Option<Piece> {
-        self.open = Some(open);
+    /// Returns a batch of tokens and keeps the attempt for the next piece.
+    fn yield_batch(
+        &mut self,
+        open: OpenAttempt<E::Stream>,
+        batch: Vec<Delivered>,
+    ) -> Option<Piece> {
+        self.current = Some(open);
         Some(Piece::Tokens(batch))
     }
 
-    fn stop(
+    /// Ends the attempt as lost, after the tokens in `batch` have been returned.
+    fn abort(
         &mut self,
-        mut open: Open<E::Stream>,
+        mut open: OpenAttempt<E::Stream>,
         batch: Vec<Delivered>,
         verdict: Verdict,
     ) -> Option<Piece> {
         let failure = Failure::Lost(verdict);
         if batch.is_empty() {
-            return self.failed(failure, open.lease);
+            return self.handle_failure(failure, open.lease);
         }
-        open.event = Some(Err(failure));
-        self.hand_on(open, batch)
+        open.pending = Some(Err(failure));
+        self.yield_batch(open, batch)
     }
 
-    fn finish(&mut self, mut open: Open<E::Stream>, finish: Finish) -> Option<Piece> {
+    fn finish(&mut self, mut open: OpenAttempt<E::Stream>, finish: Finish) -> Option<Piece> {
         if !self.generation.finish(&finish) {
-            return self.failed(Failure::Lost(Verdict::Garbled), open.lease);
+            return self.handle_failure(Failure::Lost(Verdict::Garbled), open.lease);
         }
         open.lease.verdict = Verdict::Ok;
         Some(Piece::Finish(finish.reason))
     }
 
-    /// The present runner is of no more use: goes on with another, unless the answer is whole.
-    fn failed(&mut self, failure: Failure, mut lease: Lease) -> Option<Piece> {
+    /// Handles a failed attempt: prepares another one, unless the response is complete or no retry is
+    /// allowed.
+    fn handle_failure(&mut self, failure: Failure, mut lease: Lease) -> Option<Piece> {
         let verdict = match failure {
             Failure::Lost(verdict) => verdict,
             Failure::Unsent => Verdict::Broken,
@@ -252,7 +262,7 @@
                 lease.verdict = Verdict::Rejected;
                 lease.will_retry = false;
                 self.generation.lost();
-                let detail = format!("the runner answered {status}");
+                let detail = format!("the runner rejected the request with status {status}");
                 return Some(Piece::Failed(unknown(not_run(Kind::RunnerRefused, detail))));
             }
         };
@@ -267,22 +277,25 @@
             return None;
         }
         if !self.generation.may_retry() {
-            let problem = not_run(Kind::NoRunner, "too many runners failed this request");
+            let problem = not_run(Kind::NoRunner, "the request failed at too many runners");
             return Some(self.give_up(problem::with_retry_after(problem, RESUME_AFTER)));
         }
         lease.will_retry = true;
-        // The first of two losses in a row: the caller has waited since then.
-        self.lost.get_or_insert_with(Instant::now);
+        // After consecutive losses the first one counts: the caller has been waiting since then.
+        self.lost_at.get_or_insert_with(Instant::now);
         None
     }
 
-    /// No runner for now: starts over where no token was seen and another version may serve it, else
-    /// ends at once. A request refused for lack of budget is not started over: that would go round
-    /// the budget, and its retries would overload the runners that are left.
-    fn refused(&mut self, refuse: &Refuse) -> Option<Piece> {
-        let missing = refuse.reason == Reason::NoRunner;
-        let unseen = self.generation.restart() || self.generation.pin().is_none();
-        if missing && unseen && (self.purpose == Purpose::Again || self.chooser.fall_back()) {
+    /// Handles a rejection by the core: starts over if no token was delivered and another version may
+    /// serve the request, otherwise ends the generation. A request rejected by the retry budget is not
+    /// started over: that would bypass the budget, and the retries would overload the remaining runners.
+    fn handle_rejection(&mut self, refuse: &Refuse) -> Option<Piece> {
+        let has_no_runner = refuse.reason == Reason::NoRunner;
+        let can_restart = self.generation.restart() || self.generation.pin().is_none();
+        if has_no_runner
+            && can_restart
+            && (self.purpose == Purpose::Again || self.chooser.fall_back())
+        {
             self.start_over();
             return None;
         }
@@ -300,17 +313,17 @@
             Phase::Partial => Problem {
                 run: Run::Partial,
                 detail: format!("{}; resume with `Last-Event-ID`", problem.detail),
-                ..cut(&problem)
+                ..cut_off(&problem)
             },
-            // A restart asks as if for the first time, but a runner may have run the request before.
-            _ if self.sent => unknown(problem),
+            // After a restart the request counts as new, but a runner may have run it before.
+            _ if self.is_sent => unknown(problem),
             _ => problem,
         };
         Piece::Failed(problem)
     }
 }
 
-fn cut(problem: &Problem) -> Problem {
+fn cut_off(problem: &Problem) -> Problem {
     let after = problem.retry_after.map_or(RESUME_AFTER, |s| Duration::from_secs(s.into()));
     problem::with_retry_after(not_run(Kind::Cut, problem.detail.clone()), after)
 }
--- a/src/traffic/stream/job.rs
+++ b/src/traffic/stream/job.rs
@@ -1,4 +1,4 @@
-//! What a generation is asked for, and what its caller gets.
+//! The request for a generation, and the pieces that its caller receives.
 
 use {
     bilberryfront_decide::{
@@ -9,51 +9,51 @@
     compact_str::CompactString,
 };
 
-/// What the caller gets next.
+/// A piece of the response to the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Piece {
-    /// Tokens, each with the id from which the caller may resume.
+    /// Tokens, each with an event id from which the caller may resume.
     Tokens(Vec<Delivered>),
-    /// The whole answer was delivered.
+    /// The response is complete.
     Finish(FinishReason),
-    /// No more will come.
+    /// The generation failed; there are no further pieces.
     Failed(Problem),
 }
 
-/// A token on its way to the caller.
+/// A token for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delivered {
     /// Event id.
     pub id: CompactString,
-    /// Its text.
+    /// Text of the token.
     pub text: CompactString,
 }
 
-/// What is to be generated, for whom.
+/// A validated request for a generation.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Identifier that the caller sees, the same over resumes.
+    /// Id that the caller sees; the same across resumes.
     pub request: CompactString,
-    /// Identifier that runners see, new with each request of the caller.
+    /// Id that runners see; new for each request of the caller.
     pub runner_request: CompactString,
-    /// Entry.
+    /// Key of the entry.
     pub entry: EntryKey,
-    /// Account.
+    /// Key of the account.
     pub account: AccountKey,
     /// Limits of the entry.
     pub limits: Limits,
     /// Name of the entry.
     pub model: CompactString,
-    /// Text to complete.
+    /// Prompt to complete.
     pub prompt: String,
     /// XXH64 of the prompt's prefix.
     pub prefix: u64,
-    /// Class and size: what may fail alone when a version is bad.
+    /// Class and size of the prompt: kinds of request that are compared separately during a version move.
     pub route: CompactString,
-    /// Most tokens of the whole answer.
+    /// Maximum number of tokens of the complete response.
     pub max: u32,
-    /// Higher runs first at the runner.
+    /// Priority at the runner; higher values run first.
     pub priority: u8,
-    /// Text that the caller holds already.
+    /// Text that the caller has already received, for a resume.
     pub resumed_text: String,
 }
--- a/src/traffic/stream/open.rs
+++ b/src/traffic/stream/open.rs
@@ -10,35 +10,35 @@
     tokio::time::Instant,
 };
 
-/// An attempt under way.
-pub(super) struct Open<S> {
+/// An attempt in progress.
+pub(super) struct OpenAttempt<S> {
     pub(super) upstream: S,
     pub(super) lease: Lease,
-    /// Read already, to be judged next.
-    pub(super) event: Option<Result<RunnerEvent>>,
+    /// Event that was read but not processed yet.
+    pub(super) pending: Option<Result<RunnerEvent>>,
 }
 
-impl<S: Source> Open<S> {
-    /// Waits for the runner. The bound covers only the time spent here: a caller that reads slowly
-    /// holds the stream back, and the runner must not be blamed for it.
+impl<S: Source> OpenAttempt<S> {
+    /// Waits for the next event. The timeout covers only the time spent here: back-pressure from a slow
+    /// caller must not count against the runner.
     pub(super) async fn wait(&mut self, limits: &Limits) -> Result<RunnerEvent> {
-        if let Some(event) = self.event.take() {
+        if let Some(event) = self.pending.take() {
             return event;
         }
-        let bound = match self.lease.first {
+        let timeout = match self.lease.first {
             None => millis(limits.first_ms),
             Some(_) => millis(limits.stall_ms),
         };
-        let since = Instant::now();
-        let event = self.upstream.next(bound).await;
+        let started_at = Instant::now();
+        let event = self.upstream.next(timeout).await;
         if self.lease.first.is_some() {
-            self.lease.waited += since.elapsed();
+            self.lease.waited += started_at.elapsed();
         }
         event
     }
 }
 
-/// A time of the catalogue's limits.
+/// Converts a time of the entry's limits.
 pub(super) fn millis(ms: u32) -> Duration {
     Duration::from_millis(ms.into())
 }
--- a/src/traffic/upstream.rs
+++ b/src/traffic/upstream.rs
@@ -1,4 +1,4 @@
-//! One attempt of a generation at one runner.
+//! Client for an attempt of a generation at a runner.
 
 pub mod events;
 
@@ -7,7 +7,7 @@
     bilberryfront_decide::{event::Verdict, id::Attempt},
     bilberryfront_wire::runner::{DONE, FINISH, Finish, Generate, Token},
     compact_str::format_compact,
-    events::{BadEvent, Events},
+    events::{BadEvent, EventFrames},
     futures_util::FutureExt,
     http::StatusCode,
     std::time::Duration,
@@ -23,37 +23,37 @@
     },
 };
 
-/// A result whose error says how the attempt failed.
+/// A result whose error is the failure of the attempt.
 pub type Result<T> = std::result::Result<T, Failure>;
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Another runner may do better.
+    /// The attempt failed; another runner may succeed.
     Lost(Verdict),
-    /// No connection could be made: no byte of the request has left.
+    /// No connection was established, so no byte of the request was sent.
     Unsent,
-    /// The runner says that the request itself is wrong; another would say the same.
+    /// The runner rejected the request as invalid; another runner would do the same.
     Refused(StatusCode),
 }
 
 /// An event of a runner's stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunnerEvent {
-    /// A token, under this attempt.
+    /// A token and the attempt it belongs to.
     Token(Attempt, Token),
-    /// All tokens have come.
+    /// All tokens have been sent.
     Finish(Finish),
     /// The end of the stream.
     Done,
 }
 
-/// Where attempts are made; tests put fakes in its place.
+/// Opens attempts at runners; tests replace it by fakes.
 pub trait Engines: Send + Sync + 'static {
     /// An open stream.
     type Stream: Source;
 
-    /// Asks the runner at `url`, and waits at most `wait` for the answer's head.
+    /// Sends the request to the runner at `url`, and waits at most `wait` for the head of the response.
     fn open(
         &self,
         url: &str,
@@ -62,12 +62,12 @@
     ) -> impl Future<Output = Result<Self::Stream>> + Send;
 }
 
-/// A runner's open stream. Dropping it cancels the generation there.
+/// The response stream of a runner. Dropping it cancels the generation at the runner.
 pub trait Source: Send + 'static {
-    /// Waits at most `wait` for what the runner says next.
+    /// Waits at most `wait` for the next event.
     fn next(&mut self, wait: Duration) -> impl Future<Output = Result<RunnerEvent>> + Send;
 
-    /// The next event if it has arrived.
+    /// Returns the next event if it has already arrived.
     fn try_next(&mut self) -> Option<Result<RunnerEvent>>;
 }
 
@@ -78,15 +78,15 @@
 }
 
 impl HttpEngines {
-    /// Engines reached by this client.
+    /// Creates engines that are accessed with `client`.
     pub fn new(client: Client) -> HttpEngines {
         HttpEngines { client }
     }
 }
 
-/// A runner's stream over HTTP.
+/// A runner's response stream over HTTP.
 pub struct Upstream {
-    reader: SseReader<Events>,
+    reader: SseReader<EventFrames>,
 }
 
 impl Engines for HttpEngines {
@@ -110,11 +110,11 @@
 }
 
 impl Upstream {
-    /// The stream that a runner's answer holds.
+    /// Returns the stream in a runner's response.
     pub fn new(response: Response) -> Result<Upstream> {
-        check(response.status())?;
+        check_status(response.status())?;
         let (head, body) = response.into_parts();
-        let events = Response::from_parts(head, Events::new(body));
+        let events = Response::from_parts(head, EventFrames::new(body));
         let reader = SseReader::into_sse(events).map_err(|_| garbled())?;
         Ok(Upstream { reader })
     }
@@ -123,17 +123,17 @@
 impl Source for Upstream {
     async fn next(&mut self, wait: Duration) -> Result<RunnerEvent> {
         match timeout(wait, self.reader.read()).await {
-            Ok(read) => event(read),
+            Ok(read) => convert(read),
             Err(_) => Err(Failure::Lost(Verdict::Stalled)),
         }
     }
 
     fn try_next(&mut self) -> Option<Result<RunnerEvent>> {
-        self.reader.read().now_or_never().map(event)
+        self.reader.read().now_or_never().map(convert)
     }
 }
 
-fn event(read: std::result::Result<Option<SseEvent>, BoxError>) -> Result<RunnerEvent> {
+fn convert(read: std::result::Result<Option<SseEvent>, BoxError>) -> Result<RunnerEvent> {
     match read {
         Ok(Some(event)) => parse(&event),
         Ok(None) => Err(garbled()),
@@ -142,7 +142,7 @@
     }
 }
 
-fn check(status: StatusCode) -> Result<()> {
+fn check_status(status: StatusCode) -> Result<()> {
     match status {
         StatusCode::OK => Ok(()),
         StatusCode::BAD_REQUEST | StatusCode::UNPROCESSABLE_ENTITY => Err(Failure::Refused(status)),
--- a/src/traffic/upstream/events.rs
+++ b/src/traffic/upstream/events.rs
@@ -1,9 +1,9 @@
-//! Cuts a runner's body into whole server-sent events, before the library's reader sees it.
+//! Splits a runner's response body into complete server-sent events for the library's reader.
 //!
-//! The reader has four faults that this mends: it decodes bytes that are no UTF-8 lossily, so that a
-//! token would reach the caller altered; it takes a CRLF that two frames share for two line ends, and
-//! so ends an event early; it takes an event without an end, of any length, into memory; and it moves
-//! all that it holds with every line, which costs the square of a large frame.
+//! This works around four faults of the reader. It decodes invalid UTF-8 lossily, so that a token would
+//! reach the caller altered. It treats a CRLF that is split across two frames as two line ends, which ends
+//! an event early. It buffers an unterminated event without a limit. It moves its whole buffer for every
+//! line, which takes quadratic time for a large frame.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -18,67 +18,67 @@
 /// A result whose error is [`BadEvent`].
 pub type Result<T> = std::result::Result<T, BadEvent>;
 
-/// Most bytes of one event.
-pub const EVENT_BYTES: usize = 64 << 10;
+/// Maximum size of an event, in bytes.
+pub const MAX_EVENT_BYTES: usize = 64 << 10;
 
-/// What is wrong with an event.
+/// Error of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum BadEvent {
-    /// It doesn't end within [`EVENT_BYTES`].
-    #[error("an event doesn't end within {EVENT_BYTES} bytes")]
-    Endless,
-    /// It isn't UTF-8.
-    #[error("an event isn't UTF-8")]
-    NotText,
+    /// It is longer than [`MAX_EVENT_BYTES`].
+    #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
+    TooLong,
+    /// It isn't valid UTF-8.
+    #[error("an event isn't valid UTF-8")]
+    NotUtf8,
 }
 
-/// A body each of whose frames is one event, its blank line included.
+/// A body in which each frame is one event, including its blank line.
 ///
-/// An event that the body's end cuts off is left out, as the specification of server-sent events
-/// asks.
-pub struct Events {
+/// An incomplete event at the end of the body is discarded, as the specification of server-sent events
+/// requires.
+pub struct EventFrames {
     body: Body,
-    /// Received and not yet looked at.
-    rest: Bytes,
-    /// Beginning of an event whose end is to come.
-    held: BytesMut,
-    /// Last byte looked at that is no CR.
+    /// Received bytes that were not scanned yet.
+    received: Bytes,
+    /// Start of an event whose end was not received yet.
+    partial: BytesMut,
+    /// Last scanned byte other than CR.
     last: u8,
 }
 
-impl Events {
-    /// The events of a body whose lines end with LF or CRLF.
-    pub fn new(body: Body) -> Events {
-        Events { body, rest: Bytes::new(), held: BytesMut::new(), last: 0 }
+impl EventFrames {
+    /// Splits a body whose lines end with LF or CRLF.
+    pub fn new(body: Body) -> EventFrames {
+        EventFrames { body, received: Bytes::new(), partial: BytesMut::new(), last: 0 }
     }
 
-    /// Takes the next whole event out of what was received.
-    fn take(&mut self) -> Option<Result<Bytes>> {
+    /// Returns the next complete event from the received bytes.
+    fn next_event(&mut self) -> Option<Result<Bytes>> {
         let Some(end) = self.find_end() else {
-            self.held.extend_from_slice(&self.rest);
-            self.rest.clear();
-            let endless = self.held.len() > EVENT_BYTES;
-            return endless.then_some(Err(BadEvent::Endless));
+            self.partial.extend_from_slice(&self.received);
+            self.received.clear();
+            let is_too_long = self.partial.len() > MAX_EVENT_BYTES;
+            return is_too_long.then_some(Err(BadEvent::TooLong));
         };
-        let part = self.rest.split_to(end);
-        Some(check(match self.held.is_empty() {
+        let part = self.received.split_to(end);
+        Some(check(match self.partial.is_empty() {
             true => part,
             false => {
-                self.held.extend_from_slice(&part);
-                self.held.split().freeze()
+                self.partial.extend_from_slice(&part);
+                self.partial.split().freeze()
             }
         }))
     }
 
-    /// Position after the next blank line.
+    /// Returns the position after the next blank line.
     fn find_end(&mut self) -> Option<usize> {
-        for (at, &byte) in self.rest.iter().enumerate() {
-            let blank = byte == b'\n' && self.last == b'\n';
+        for (at, &byte) in self.received.iter().enumerate() {
+            let is_blank_line = byte == b'\n' && self.last == b'\n';
             if byte != b'\r' {
                 self.last = byte;
             }
-            if blank {
+            if is_blank_line {
                 return Some(at + 1);
             }
         }
@@ -87,16 +87,16 @@
 }
 
 fn check(event: Bytes) -> Result<Bytes> {
-    if event.len() > EVENT_BYTES {
-        return Err(BadEvent::Endless);
+    if event.len() > MAX_EVENT_BYTES {
+        return Err(BadEvent::TooLong);
     }
     match str::from_utf8(&event) {
         Ok(_) => Ok(event),
-        Err(_) => Err(BadEvent::NotText),
+        Err(_) => Err(BadEvent::NotUtf8),
     }
 }
 
-impl http_body::Body for Events {
+impl http_body::Body for EventFrames {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -105,12 +105,12 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, BoxError>>> {
         loop {
-            if let Some(event) = self.take() {
+            if let Some(event) = self.next_event() {
                 return Poll::Ready(Some(event.map(Frame::data).map_err(BoxError::from)));
             }
             match ready!(Pin::new(&mut self.body).poll_frame(cx)) {
-                // Trailers say nothing of events.
-                Some(Ok(frame)) => self.rest = frame.into_data().unwrap_or_default(),
+                // Trailers contain no events.
+                Some(Ok(frame)) => self.received = frame.into_data().unwrap_or_default(),
                 end => return Poll::Ready(end),
             }
         }
