--- a/src/catalogue.rs
+++ b/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! Catalogue files, and the catalogue that is kept by the platform.
+//! Catalogue files, and the catalogue in the platform's table service.
 
 pub mod diff;
 pub mod store;
@@ -9,12 +9,12 @@
     std::path::Path,
 };
 
-/// Reads and checks a catalogue file.
+/// Reads and validates a catalogue file.
 pub fn load(path: &Path) -> Result<CatalogDoc> {
     parse(&Document::read(path)?)
 }
 
-/// Reads and checks a catalogue; each fault is shown at its line.
+/// Parses and validates a catalogue; each fault is reported with its line.
 pub fn parse(doc: &Document) -> Result<CatalogDoc> {
     let catalog = doc.parse::<CatalogDoc>()?;
     let faults = catalog
--- a/src/catalogue/diff.rs
+++ b/src/catalogue/diff.rs
@@ -11,30 +11,29 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Difference {
-    /// Account or entry, such as `entry verify-llm`.
+    /// Name of the account or entry, such as `entry verify-llm`.
     pub part: String,
-    /// Field in the part, such as `limits.concurrent`.
+    /// Path of the field, such as `limits.concurrent`.
     pub field: String,
-    /// Value before; absent when the field is new.
+    /// Old value; absent if the field was added.
     pub before: Option<String>,
-    /// Value after; absent when the field is gone.
+    /// New value; absent if the field was removed.
     pub after: Option<String>,
 }
 
 type Fields = BTreeMap<(String, String), String>;
 
-/// Finds every field that differs, accounts first.
+/// Returns every field that differs, accounts first.
 pub fn diff(before: &CatalogDoc, after: &CatalogDoc) -> Vec<Difference> {
     let (before, after) = (fields(before), fields(after));
-    let places: BTreeSet<_> = before.keys().chain(after.keys()).collect();
-    places
-        .into_iter()
-        .filter(|place| before.get(place) != after.get(place))
-        .map(|place| Difference {
-            part: place.0.clone(),
-            field: place.1.clone(),
-            before: before.get(place).cloned(),
-            after: after.get(place).cloned(),
+    let keys: BTreeSet<_> = before.keys().chain(after.keys()).collect();
+    keys.into_iter()
+        .filter(|key| before.get(key) != after.get(key))
+        .map(|key| Difference {
+            part: key.0.clone(),
+            field: key.1.clone(),
+            before: before.get(key).cloned(),
+            after: after.get(key).cloned(),
         })
         .collect()
 }
@@ -55,7 +54,8 @@
     flatten(part, "", &value, fields);
 }
 
-/// Enters objects, and lists whose elements have a name; other values are compared whole.
+/// Collects the fields of objects, and of lists whose elements name an account. Other values are compared
+/// as a whole.
 fn flatten(part: &str, field: &str, value: &Value, fields: &mut Fields) {
     match value {
         Value::Object(object) => {
--- a/src/catalogue/store.rs
+++ b/src/catalogue/store.rs
@@ -1,12 +1,12 @@
-//! The catalogue as the platform's table service keeps it.
+//! Storage of the catalogue in the platform's table service.
 //!
-//! Rows, all written by one atomic commit that is conditional on the head that was read:
-//! - `catalogue/head`: the newest revision's number, small because every node polls it;
-//! - `catalogue/rev/N`: the catalogue of revision N, never written again;
-//! - `catalogue/log/N`: who made revision N, when, why and by which apply id ([`Change`]).
+//! Rows, all written in one atomic commit that is conditional on the head that was read:
+//! - `catalogue/head`: number of the latest revision; small because every node polls it;
+//! - `catalogue/rev/N`: the catalogue of revision N, immutable;
+//! - `catalogue/log/N`: author, time, comment and apply id of revision N ([`Change`]).
 //!
-//! Revisions only grow and are never deleted, so a catalogue that was accepted can't be undone by
-//! a late or repeated write.
+//! Revision numbers only increase and revisions are never deleted, so a delayed or repeated write can't
+//! revert an accepted catalogue.
 
 use {
     crate::platform::{http::PlatformError, table::Table},
@@ -22,96 +22,96 @@
 pub type Result<T> = std::result::Result<T, StoreError>;
 
 const HEAD: &str = "catalogue/head";
-/// Sends of one commit before its outcome is called unknown.
-const SENDS: u32 = 4;
-/// Pause before a commit with a lost reply is sent again; grows with each send.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Maximum number of times a commit is sent before its outcome is reported as unknown.
+const MAX_SENDS: u32 = 4;
+/// Pause before a commit with a lost reply is sent again, multiplied by the number of previous sends.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why the store gave no answer.
+/// Error of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum StoreError {
     /// Nothing was read or written.
-    #[error("the table service gives no answer: {0}")]
+    #[error("the table service is unavailable: {0}")]
     Down(PlatformError),
-    /// Replies were lost: the change may or may not be accepted.
+    /// Replies were lost: the change may have been accepted.
     #[error("the table service's replies were lost; change {apply} may have been accepted")]
     Unknown {
         /// The change's id.
         apply: CompactString,
     },
-    /// A row is missing or unreadable.
-    #[error("row {key} is damaged: {reason}")]
+    /// A row is missing or can't be decoded.
+    #[error("row {key} is corrupt: {reason}")]
     Damaged {
-        /// The row.
+        /// Key of the row.
         key: CompactString,
-        /// What is wrong with it.
+        /// Reason.
         reason: String,
     },
 }
 
-/// A catalogue and its number.
+/// A catalogue and its revision number.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct CatalogueRevision {
-    /// 0 before the first catalogue.
+    /// Revision number; 0 before the first catalogue.
     pub revision: Revision,
     /// The catalogue.
     pub catalogue: CatalogDoc,
 }
 
-/// How a revision came about.
+/// The change that created a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Change {
-    /// Random id, the same in every send of one change.
+    /// Random id of the change, the same for every send.
     pub apply: CompactString,
-    /// Who made it.
+    /// Author.
     pub who: CompactString,
-    /// When, by the clock of the node that accepted it.
+    /// Time, by the clock of the node that accepted the change.
     pub when: Timestamp,
-    /// Why, in the operator's words.
+    /// Comment of the operator.
     pub comment: String,
 }
 
-/// A line of the catalogue's history.
+/// An entry of the catalogue's history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct HistoryEntry {
     /// The revision.
     pub revision: Revision,
-    /// How it came about.
+    /// The change that created it.
     #[serde(flatten)]
     pub change: Change,
 }
 
-/// What came of a change.
+/// Result of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The change is in force as this revision.
+    /// The change was applied as this revision.
     Applied(Revision),
-    /// Nothing was changed: the newest revision is this and not the expected one.
+    /// Nothing was changed: the latest revision is this one instead of the expected one.
     Conflict(Revision),
 }
 
-/// The catalogue kept in a table service.
+/// The catalogue in a table service.
 #[derive(Clone)]
 pub struct Store<T> {
     table: T,
 }
 
 impl<T: Table> Store<T> {
-    /// The catalogue in `table`.
+    /// Creates a store in `table`.
     pub fn new(table: T) -> Store<T> {
         Store { table }
     }
 
-    /// The newest revision's number; one small read, for polling.
+    /// Returns the number of the latest revision, with one small read suitable for polling.
     pub async fn head(&self) -> Result<Revision> {
         Ok(self.read_head().await?.0)
     }
 
-    /// The newest catalogue; revision 0 and empty before the first.
+    /// Returns the latest catalogue; revision 0 and empty before the first.
     pub async fn get(&self) -> Result<CatalogueRevision> {
         match self.head().await? {
             0 => Ok(CatalogueRevision::default()),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The catalogue of one revision.
+    /// Returns the catalogue of a revision.
     pub async fn revision(&self, revision: Revision) -> Result<CatalogueRevision> {
         let key = rev_key(revision);
         let rows = self.read(vec![key.clone()]).await?;
@@ -127,7 +127,7 @@
         Ok(CatalogueRevision { revision, catalogue: decode(row)? })
     }
 
-    /// The newest `limit` changes, the newest first.
+    /// Returns the latest `limit` changes, newest first.
     pub async fn history(&self, limit: u32) -> Result<Vec<HistoryEntry>> {
         let head = self.head().await?;
         let oldest = head.saturating_sub(limit.into()) + 1;
@@ -135,15 +135,15 @@
         if keys.is_empty() {
             return Ok(Vec::new());
         }
-        let mut past = Vec::new();
+        let mut entries = Vec::new();
         for row in self.read(keys).await? {
-            past.push(decode::<HistoryEntry>(&row)?);
+            entries.push(decode::<HistoryEntry>(&row)?);
         }
-        past.sort_by_key(|p| std::cmp::Reverse(p.revision));
-        Ok(past)
+        entries.sort_by_key(|e| std::cmp::Reverse(e.revision));
+        Ok(entries)
     }
 
-    /// Makes `doc` the revision after `expected`, unless there is one already.
+    /// Stores `doc` as the revision after `expected`, unless that revision exists already.
     ///
     /// The table's response may be lost after the commit. The commit is then retried with the same
     /// apply id: it is conditional on the same head, so it takes effect at most once, and the
@@ -154,19 +154,19 @@
         expected: Revision,
         change: &Change,
     ) -> Result<Outcome> {
-        let (now, row) = self.read_head().await?;
-        if now != expected {
-            return self.settle(expected + 1, change).await;
+        let (latest, row) = self.read_head().await?;
+        if latest != expected {
+            return self.resolve(expected + 1, change).await;
         }
         let commit = commit(doc, expected + 1, row, change);
         let mut lost = false;
-        for send in 0..SENDS {
-            tokio::time::sleep(PAUSE * send).await;
+        for send in 0..MAX_SENDS {
+            tokio::time::sleep(RETRY_PAUSE * send).await;
             match self.table.commit(&commit).await {
                 Ok(done) if done.results.iter().all(|w| matches!(w, Written::Done(_))) => {
                     return Ok(Outcome::Applied(expected + 1));
                 }
-                Ok(_) => return self.settle_lost(expected + 1, change, lost).await,
+                Ok(_) => return self.resolve_lost(expected + 1, change, lost).await,
                 Err(PlatformError::Down(reason)) if !lost => {
                     return Err(StoreError::Down(PlatformError::Down(reason)));
                 }
@@ -177,29 +177,29 @@
         Err(StoreError::Unknown { apply: change.apply.clone() })
     }
 
-    /// Tells by the log whether `revision` came about by `change`.
-    async fn settle(&self, revision: Revision, change: &Change) -> Result<Outcome> {
+    /// Determines from the log whether `revision` was created by `change`.
+    async fn resolve(&self, revision: Revision, change: &Change) -> Result<Outcome> {
         let rows = self.read(vec![HEAD.into(), log_key(revision)]).await?;
-        let mut now = 0;
+        let mut latest = 0;
         for row in &rows {
             match row.key == HEAD {
-                true => now = decode::<Revision>(row)?,
+                true => latest = decode::<Revision>(row)?,
                 false if decode::<HistoryEntry>(row)?.change.apply == change.apply => {
                     return Ok(Outcome::Applied(revision));
                 }
                 false => {}
             }
         }
-        Ok(Outcome::Conflict(now))
+        Ok(Outcome::Conflict(latest))
     }
 
-    /// As [`Store::settle`], but a failed read leaves a change unknown whose reply was lost.
-    async fn settle_lost(&self, next: Revision, change: &Change, lost: bool) -> Result<Outcome> {
-        match self.settle(next, change).await {
+    /// Like [`Store::resolve`], but after a lost reply a failed read leaves the outcome unknown.
+    async fn resolve_lost(&self, next: Revision, change: &Change, lost: bool) -> Result<Outcome> {
+        match self.resolve(next, change).await {
             Err(StoreError::Down(_)) if lost => {
                 Err(StoreError::Unknown { apply: change.apply.clone() })
             }
-            settled => settled,
+            resolved => resolved,
         }
     }
 
@@ -217,11 +217,11 @@
 }
 
 fn commit(doc: &CatalogDoc, revision: Revision, head: RowRevision, change: &Change) -> Commit {
-    let past = HistoryEntry { revision, change: change.clone() };
+    let entry = HistoryEntry { revision, change: change.clone() };
     let writes = vec![
         write(HEAD.into(), head, &revision),
         write(rev_key(revision), 0, doc),
-        write(log_key(revision), 0, &past),
+        write(log_key(revision), 0, &entry),
     ];
     Commit { atomic: true, writes }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -13,7 +13,7 @@
     },
     bilberryfront_decide::id::Incarnation,
     compact_str::{CompactString, format_compact},
-    control_thread::Inbox,
+    control_thread::Receivers,
     serde::Serialize,
     std::{
         io,
@@ -23,60 +23,62 @@
     tokio::runtime,
 };
 
-/// Longest wait for the platform.
+/// Timeout of calls to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Written to standard output as one line of JSON when the node listens.
+/// Printed to standard output as a line of JSON once the node listens.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Listening {
     /// Name of the instance.
     pub name: CompactString,
-    /// Callers' address.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Operators' address.
+    /// Address for operators.
     pub operators: SocketAddr,
     /// Address for other nodes.
     pub peers: SocketAddr,
 }
 
-/// What the parts of a node share.
+/// State shared by the threads of a node.
 #[derive(Clone)]
-struct Parts {
+struct Shared {
     settings: Settings,
     control: Control,
     published: Published,
     leaving: Leaving,
     metrics: Metrics,
-    /// Random at start: tells this life of the node from every other.
+    /// Random; distinguishes this run of the node from all others.
     incarnation: Incarnation,
-    /// Base URL under which callers reach this node.
+    /// Base URL of this node for callers.
     url: CompactString,
 }
 
-/// Runs a node until it has left.
+/// Runs a node until it has drained.
 pub fn run(settings: &Settings) -> Result<()> {
     let callers = bind(settings.listen.callers)?;
     let operators = bind(settings.listen.operators)?;
     let published = Published::default();
     let (control, receiver) = Control::new(published.clone());
-    let metrics = Metrics::start(settings.metrics.as_ref()).map_err(system("send metrics"))?;
-    let (moves, wishes) = Moves::new();
+    let metrics =
+        Metrics::start(settings.metrics.as_ref()).map_err(system_error("send metrics"))?;
+    let (moves, move_receiver) = Moves::new();
     let control = control.with_moves(moves);
-    let parts = Parts {
+    let shared = Shared {
         settings: settings.clone(),
         control: control.with_metrics(metrics.clone()),
         published,
         leaving: Leaving::default(),
         metrics,
         incarnation: Incarnation(rand::random()),
-        url: format_compact!("http://{}", local(&callers)?),
+        url: format_compact!("http://{}", local_address(&callers)?),
     };
-    let peers = control_thread::start(&parts, Inbox { events: receiver, moves: wishes })?;
+    let peers =
+        control_thread::start(&shared, Receivers { events: receiver, moves: move_receiver })?;
     let listening = Listening {
         name: settings.name.clone(),
-        callers: local(&callers)?,
-        operators: local(&operators)?,
+        callers: local_address(&callers)?,
+        operators: local_address(&operators)?,
         peers,
     };
     println!("{}", serde_json::to_string(&listening).expect("plain data serializes"));
@@ -85,27 +87,27 @@
         .thread_name("traffic")
         .enable_all()
         .build()
-        .map_err(system("start the traffic threads"))?;
-    runtime.block_on(serve::run(&parts, callers, operators))
+        .map_err(system_error("start the traffic threads"))?;
+    runtime.block_on(serve::run(&shared, callers, operators))
 }
 
-impl Parts {
+impl Shared {
     fn table(&self) -> HttpTable {
         HttpTable::new(Service::new(self.settings.platform.table.clone(), PLATFORM_TIMEOUT))
     }
 }
 
 fn bind(address: SocketAddr) -> Result<TcpListener> {
-    let refused = |source| Error::Bind { address, source };
-    let listener = TcpListener::bind(address).map_err(refused)?;
-    listener.set_nonblocking(true).map_err(system("set up a listener"))?;
+    let bind_error = |source| Error::Bind { address, source };
+    let listener = TcpListener::bind(address).map_err(bind_error)?;
+    listener.set_nonblocking(true).map_err(system_error("configure a listener"))?;
     Ok(listener)
 }
 
-fn local(listener: &TcpListener) -> Result<SocketAddr> {
-    listener.local_addr().map_err(system("read a listener's address"))
+fn local_address(listener: &TcpListener) -> Result<SocketAddr> {
+    listener.local_addr().map_err(system_error("read a listener's address"))
 }
 
-fn system(attempt: &'static str) -> impl Fn(io::Error) -> Error {
+fn system_error(attempt: &'static str) -> impl Fn(io::Error) -> Error {
     move |source| Error::System { attempt, source }
 }
--- a/src/node/control_thread.rs
+++ b/src/node/control_thread.rs
@@ -1,7 +1,7 @@
-//! Starts the control thread and its tasks.
+//! Start of the control thread and its tasks.
 
 use {
-    super::{PLATFORM_TIMEOUT, Parts, system},
+    super::{PLATFORM_TIMEOUT, Shared, system_error},
     crate::{
         catalogue::store::Store,
         control::{self, Message, membership::Membership, moves, pollers},
@@ -36,72 +36,75 @@
     },
 };
 
-/// What the control thread is sent.
-pub(super) struct Inbox {
-    /// For the core.
+/// Receivers of the messages to the control thread.
+pub(super) struct Receivers {
+    /// Messages to the core.
     pub(super) events: mpsc::UnboundedReceiver<Message>,
-    /// For the mover.
+    /// Messages to the mover.
     pub(super) moves: mpsc::UnboundedReceiver<moves::Message>,
 }
 
-/// Starts the control thread; returns the address at which other nodes reach this one.
-pub(super) fn start(parts: &Parts, inbox: Inbox) -> Result<SocketAddr> {
+/// Starts the control thread, and returns the address of this node for other nodes.
+pub(super) fn start(shared: &Shared, receivers: Receivers) -> Result<SocketAddr> {
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(system("start the control thread"))?;
-    let (started, wait) = channel::channel();
-    let parts = parts.clone();
-    let work = move || {
+        .map_err(system_error("start the control thread"))?;
+    let (started, result) = channel::channel();
+    let shared = shared.clone();
+    let run_thread = move || {
         runtime.block_on(async {
-            match listen(&parts.settings) {
+            match listen(&shared.settings) {
                 Ok((net, received, address)) => {
                     _ = started.send(Ok(address));
-                    work(parts, inbox, net, received, address).await;
+                    run(shared, receivers, net, received, address).await;
                 }
                 Err(error) => _ = started.send(Err(error)),
             }
         });
     };
-    thread::Builder::new().name("control".into()).spawn(work).map_err(system("start a thread"))?;
-    let ended = || Error::System {
+    thread::Builder::new()
+        .name("control".into())
+        .spawn(run_thread)
+        .map_err(system_error("start a thread"))?;
+    let exited = || Error::System {
         attempt: "start the control thread",
-        source: io::Error::other("it ended at once"),
+        source: io::Error::other("the thread exited before it listened for other nodes"),
     };
-    wait.recv().map_err(|_| ended())?
+    result.recv().map_err(|_| exited())?
 }
 
-async fn work(
-    parts: Parts,
-    inbox: Inbox,
+async fn run(
+    shared: Shared,
+    receivers: Receivers,
     net: PeerNet,
     received: mpsc::Receiver<Received>,
     address: SocketAddr,
 ) {
-    let Parts { settings, control, published, .. } = &parts;
-    let (lists, listed) = watch::channel(None);
+    let Shared { settings, control, published, .. } = &shared;
+    let (list_sender, lists) = watch::channel(None);
     let instances = Service::new(settings.platform.instances.clone(), PLATFORM_TIMEOUT);
-    tokio::spawn(pollers::poll_instances(control.clone(), lists, instances));
-    tokio::spawn(pollers::poll_catalog(control.clone(), Store::new(parts.table())));
+    tokio::spawn(pollers::poll_instances(control.clone(), list_sender, instances));
+    tokio::spawn(pollers::poll_catalog(control.clone(), Store::new(shared.table())));
     tokio::spawn(pollers::poll_loads(control.clone()));
-    tokio::spawn(measure_always(parts.metrics.clone(), {
+    tokio::spawn(measure_always(shared.metrics.clone(), {
         let net = net.clone();
         move |metrics| measure(metrics, &net)
     }));
-    let task = moves::Task::new(
-        mover(&parts),
-        parts.table(),
+    let move_task = moves::Task::new(
+        mover(&shared),
+        shared.table(),
         net.clone(),
         control.clone(),
         published.clone(),
     );
-    tokio::spawn(task.run(inbox.moves));
-    let membership = membership(&parts, net, address);
-    tokio::spawn(membership.run(received, listed));
+    tokio::spawn(move_task.run(receivers.moves));
+    let membership = membership(&shared, net, address);
+    tokio::spawn(membership.run(received, lists));
     let location =
         place::Place { region: settings.region.clone(), domain: settings.domain.clone() };
     let core = Core::new(rand::random(), location);
-    control::drive(core, inbox.events, published.clone()).await;
+    control::drive(core, receivers.events, published.clone()).await;
 }
 
 fn measure(metrics: &Metrics, net: &PeerNet) {
@@ -112,32 +115,32 @@
     metrics.set(Gauge::PeersRefused, counts.refused);
 }
 
-fn membership(parts: &Parts, net: PeerNet, address: SocketAddr) -> Membership<PeerNet> {
-    let settings = &parts.settings;
+fn membership(shared: &Shared, net: PeerNet, address: SocketAddr) -> Membership<PeerNet> {
+    let settings = &shared.settings;
     let location = NodeLocation {
         domain: settings.domain.clone(),
-        url: parts.url.clone(),
+        url: shared.url.clone(),
         peer: format_compact!("{address}"),
     };
-    let life = Life { epoch: wall(), incarnation: parts.incarnation };
+    let life = Life { epoch: unix_millis(), incarnation: shared.incarnation };
     let me = bilberryfront_decide::member::Me { name: settings.name.clone(), life, location };
     Membership {
         members: Members::new(rand::random(), Instant::now(), me),
         net,
         name: settings.name.clone(),
         drain: Drain::new(Duration::from_secs(settings.drain.ttl.into())),
-        leaving: parts.leaving.clone(),
-        control: parts.control.clone(),
-        published: parts.published.clone(),
+        leaving: shared.leaving.clone(),
+        control: shared.control.clone(),
+        published: shared.published.clone(),
     }
 }
 
-fn mover(parts: &Parts) -> Mover {
-    Mover::new(parts.incarnation, rand::random(), Instant::now(), wall())
+fn mover(shared: &Shared) -> Mover {
+    Mover::new(shared.incarnation, rand::random(), Instant::now(), unix_millis())
 }
 
-/// Milliseconds since the Unix epoch.
-fn wall() -> u64 {
+/// Returns the milliseconds since the Unix epoch.
+fn unix_millis() -> u64 {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     time.unwrap_or_default().as_millis() as u64
 }
@@ -151,8 +154,8 @@
         key: read(&tls.key)?,
         authority: read(&tls.authority)?,
     };
-    let (net, received) = PeerNet::start(&config).map_err(refused)?;
-    let address = net.address().map_err(system("read the peers' address"))?;
+    let (net, received) = PeerNet::start(&config).map_err(peer_error)?;
+    let address = net.address().map_err(system_error("read the address for other nodes"))?;
     Ok((net, received, address))
 }
 
@@ -160,11 +163,11 @@
     fs::read(path).map_err(|source| Error::Read { path: path.to_owned(), source })
 }
 
-fn refused(error: PeerError) -> Error {
+fn peer_error(error: PeerError) -> Error {
     match error {
         PeerError::Listen { address, cause } => Error::Bind { address, source: cause },
         other => Error::System {
-            attempt: "set up the face for other nodes",
+            attempt: "start the network to other nodes",
             source: io::Error::other(other.to_string()),
         },
     }
--- a/src/node/serve.rs
+++ b/src/node/serve.rs
@@ -1,7 +1,7 @@
 //! The HTTP servers of a node.
 
 use {
-    super::{Parts, system},
+    super::{Shared, system_error},
     crate::{
         catalogue::store::Store,
         error::Result,
@@ -20,45 +20,49 @@
     },
 };
 
-/// Longest wait for a connection to a runner.
+/// Maximum time to connect to a runner.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Serves callers and operators until the node has left.
-pub(super) async fn run(parts: &Parts, callers: TcpListener, operators: TcpListener) -> Result<()> {
-    tokio::spawn(flush_always(parts.metrics.clone()));
-    let traffic = traffic(parts);
-    tokio::spawn(measure_always(parts.metrics.clone(), {
+/// Serves callers and operators until the node has drained.
+pub(super) async fn run(
+    shared: &Shared,
+    callers: TcpListener,
+    operators: TcpListener,
+) -> Result<()> {
+    tokio::spawn(flush_always(shared.metrics.clone()));
+    let traffic = traffic(shared);
+    tokio::spawn(measure_always(shared.metrics.clone(), {
         let traffic = traffic.clone();
         move |metrics| measure(metrics, &traffic)
     }));
-    let sweeper = sweep::sweep_all(parts.table(), {
-        let control = parts.control.clone();
+    let sweeper = sweep::sweep_all(shared.table(), {
+        let control = shared.control.clone();
         move || control.view().nodes.len() as u32 + 1
     });
     tokio::spawn(sweeper);
-    let face = face(parts);
-    let moves = MovesApi { keys: face.keys.clone(), node: face.control.clone() };
-    let router = operator::router(face).merge(operator::moves::router(moves));
-    tokio::spawn(serve(parts.clone(), router, operators));
-    let served = serve(parts.clone(), traffic::router(traffic), callers).await;
-    parts.metrics.flush();
-    served
+    let api = operator_api(shared);
+    let moves = MovesApi { keys: api.keys.clone(), node: api.control.clone() };
+    let router = operator::router(api).merge(operator::moves::router(moves));
+    tokio::spawn(serve(shared.clone(), router, operators));
+    let result = serve(shared.clone(), traffic::router(traffic), callers).await;
+    shared.metrics.flush();
+    result
 }
 
-fn traffic(parts: &Parts) -> Traffic {
+fn traffic(shared: &Shared) -> Traffic {
     let mut builder = Client::builder();
     builder.set_connect_timeout(CONNECT_TIMEOUT);
     let client = builder.build().expect("the client's configuration is constant");
     Traffic {
-        control: parts.control.clone(),
+        control: shared.control.clone(),
         engines: HttpEngines::new(client),
         services: Services {
-            control: parts.control.clone(),
-            intents: Intents::start(parts.table(), parts.incarnation, Limits::default()),
+            control: shared.control.clone(),
+            intents: Intents::start(shared.table(), shared.incarnation, Limits::default()),
             sender: Sender::default(),
         },
-        ttl: parts.settings.drain.ttl,
-        in_flight: parts.leaving.in_flight.clone(),
+        ttl: shared.settings.drain.ttl,
+        in_flight: shared.leaving.in_flight.clone(),
     }
 }
 
@@ -79,35 +83,35 @@
     metrics.set(Gauge::IntentsUnrecorded, intents.unrecorded());
 }
 
-fn face(parts: &Parts) -> OperatorApi<crate::platform::table::HttpTable, NodeHandle> {
-    let settings = &parts.settings;
+fn operator_api(shared: &Shared) -> OperatorApi<crate::platform::table::HttpTable, NodeHandle> {
+    let settings = &shared.settings;
     let location = NodeLocation {
         domain: settings.domain.clone(),
-        url: parts.url.clone(),
+        url: shared.url.clone(),
         peer: CompactString::default(),
     };
     OperatorApi {
-        store: Store::new(parts.table()),
+        store: Store::new(shared.table()),
         keys: Keys::new(settings.operators.clone()),
         control: NodeHandle {
-            control: parts.control.clone(),
+            control: shared.control.clone(),
             name: settings.name.clone(),
-            incarnation: parts.incarnation,
+            incarnation: shared.incarnation,
             location,
         },
     }
 }
 
-/// Serves until the node has left.
+/// Serves until the node has drained.
 ///
-/// The server takes SIGTERM itself, and 30 s later it would cut whatever still runs. It first waits
-/// for its shutdown hook, though, and goes on accepting meanwhile: the hook returns when the last
-/// stream has ended.
-async fn serve(parts: Parts, router: Router, listener: TcpListener) -> Result<()> {
-    let listener = tokio::net::TcpListener::from_std(listener).map_err(system("listen"))?;
-    let leaving = parts.leaving;
+/// The HTTP server handles SIGTERM itself, and aborts what still runs 30 s later. Before that it waits for
+/// its shutdown hook and continues to accept connections, so the hook returns only when the last stream has
+/// ended.
+async fn serve(shared: Shared, router: Router, listener: TcpListener) -> Result<()> {
+    let listener = tokio::net::TcpListener::from_std(listener).map_err(system_error("listen"))?;
+    let leaving = shared.leaving;
     let server = Server::new(router)
         .register_shutdown_hook(move || Box::pin(async move { leaving.leave().await }));
-    let stopped = server.run(DefaultIncoming::from(listener)).await;
-    stopped.map_err(|e| io::Error::other(e.to_string())).map_err(system("serve"))
+    let result = server.run(DefaultIncoming::from(listener)).await;
+    result.map_err(|e| io::Error::other(e.to_string())).map_err(system_error("serve"))
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform's services.
+//! Clients for the platform's services.
 
 pub mod http;
 pub mod instances;
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! JSON over HTTP to the platform.
+//! HTTP client for the JSON services of the platform.
 
 use {
     compact_str::CompactString,
@@ -16,48 +16,50 @@
 /// A result whose error is a [`PlatformError`].
 pub type Result<T> = std::result::Result<T, PlatformError>;
 
-/// Longest wait for a connection.
+/// Maximum time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why the platform gave no answer.
+/// Error of a call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum PlatformError {
     /// The call had no effect.
-    #[error("the platform is down: {0}")]
+    #[error("the platform is unavailable: {0}")]
     Down(String),
-    /// The call may have had its effect, but its answer was lost.
-    #[error("the platform's answer was lost: {0}")]
+    /// The call may have had an effect, but its response was lost.
+    #[error("the platform's response was lost: {0}")]
     Lost(String),
 }
 
-/// Most bytes of an answer: an instance list at design size has 2 MiB, a catalogue less.
-const ANSWER_BYTES: usize = 16 << 20;
+/// Maximum size of a response, in bytes. At design size an instance list has 2 MiB, a catalogue less.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// One service of the platform.
+/// Client for a service of the platform.
 #[derive(Clone)]
 pub struct Service {
     base: CompactString,
     client: Client,
     timeout: Duration,
-    limit: usize,
+    response_limit: usize,
 }
 
 impl Service {
-    /// A client of the service at `base`; a call that takes longer than `timeout` is lost.
+    /// Creates a client for the service at `base`. A call that takes longer than `timeout` fails with
+    /// [`PlatformError::Lost`].
     pub fn new(base: CompactString, timeout: Duration) -> Service {
         let mut builder = Client::builder();
         builder.set_connect_timeout(CONNECT_TIMEOUT);
         let client = builder.build().expect("the client's configuration is constant");
-        Service { base, client, timeout, limit: ANSWER_BYTES }
+        Service { base, client, timeout, response_limit: MAX_RESPONSE_BYTES }
     }
 
-    /// The same, but an answer of more than `bytes` is lost.
+    /// Returns the client with another response limit. A call with a longer response fails with
+    /// [`PlatformError::Lost`].
     pub fn with_response_limit(self, bytes: usize) -> Service {
-        Service { limit: bytes, ..self }
+        Service { response_limit: bytes, ..self }
     }
 
-    /// Sends `body` and reads the answer.
+    /// Sends `body` and returns the response.
     pub async fn post<Q, A>(&self, path: &str, body: &Q) -> Result<A>
     where
         Q: Serialize + Sync,
@@ -67,7 +69,7 @@
         self.call(Method::POST, path, Body::from(body)).await
     }
 
-    /// Reads an answer.
+    /// Sends a GET request and returns the response.
     pub async fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A> {
         self.call(Method::GET, path, Body::empty()).await
     }
@@ -82,11 +84,11 @@
                 .body(body);
             let response = request.send::<Body>().await.map_err(|e| failure(&e))?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), self.limit);
+            let body = Limited::new(response.into_body(), self.response_limit);
             let bytes = body.collect().await.map_err(lost)?.to_bytes();
             match status {
                 StatusCode::OK => serde_json::from_slice(&bytes).map_err(lost),
-                // Any other server error, such as one of a gateway, may come after the effect.
+                // Other server errors, such as those of a gateway, may occur after the call took effect.
                 _ if status.is_server_error() && status != StatusCode::SERVICE_UNAVAILABLE => {
                     Err(PlatformError::Lost(format!("status {status}")))
                 }
@@ -107,11 +109,11 @@
     }
 }
 
-/// Whether the client failed before the first byte of the request could leave.
+/// Returns whether the client failed before it could send a byte of the request.
 ///
-/// The client reports a connection that can't be made as a failed request, like one that broke
-/// later. Only the former has an I/O error as its direct source; once there is a connection, its
-/// HTTP library wraps every error in one of its own.
+/// The client reports a failed connection attempt as a failed request, like a connection that broke
+/// later. Only the former has an I/O error as its direct source: once the connection is established, the
+/// HTTP library wraps every error in its own type.
 pub(crate) fn is_unsent(error: &ClientError) -> bool {
     match error.kind() {
         ErrorKind::Connect | ErrorKind::Builder | ErrorKind::LoadBalance => true,
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -1,28 +1,28 @@
-//! The platform's transactional table service.
+//! Client for the platform's transactional table service.
 
 use {
     super::http::{Result, Service},
     bilberryfront_wire::table::{Commit, Committed, Read, Rows, Scan},
 };
 
-/// What the product needs of the table service; tests put a fake in its place.
+/// The operations of the table service; tests replace it by a fake.
 pub trait Table: Clone + Send + Sync + 'static {
-    /// Writes rows under conditions.
+    /// Writes rows conditionally.
     fn commit(&self, commit: &Commit) -> impl Future<Output = Result<Committed>> + Send;
     /// Reads rows by key.
     fn read(&self, read: &Read) -> impl Future<Output = Result<Rows>> + Send;
-    /// Reads rows below a prefix.
+    /// Reads rows by key prefix.
     fn scan(&self, scan: &Scan) -> impl Future<Output = Result<Rows>> + Send;
 }
 
-/// The service itself, over HTTP.
+/// The table service over HTTP.
 #[derive(Clone)]
 pub struct HttpTable {
     service: Service,
 }
 
 impl HttpTable {
-    /// A client of the table service.
+    /// Creates a client for the table service.
     pub fn new(service: Service) -> HttpTable {
         HttpTable { service }
     }
