--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -1,4 +1,4 @@
-//! One subject's lines, what happened around them, and the cause that they point to.
+//! The history of a subject: its log lines, related lines, and the probable cause of its outcome.
 
 use {
     super::{
@@ -12,17 +12,18 @@
     std::{collections::BTreeSet, fmt},
 };
 
-/// Field that names a request.
-const REQUEST: &str = "request";
-/// Fields that name a runner.
-const RUNNERS: [&str; 4] = ["runner", "holder", "replica", "former"];
-/// How long before a request's first line something may have happened that explains it: an outage
-/// shows in an instance's log at its start only, and lasts seconds.
-const BEFORE: SignedDuration = SignedDuration::from_secs(10);
-/// How long after its last line: a failure domain's other runners are noticed within this time.
-const AFTER: SignedDuration = SignedDuration::from_millis(500);
+/// Field with the id of a request.
+const REQUEST_FIELD: &str = "request";
+/// Fields with the id of a runner.
+const RUNNER_FIELDS: [&str; 4] = ["runner", "holder", "replica", "former"];
+/// Time before a subject's first line in which related lines are included. An outage is logged only when it
+/// starts, and lasts for seconds.
+const TIME_BEFORE: SignedDuration = SignedDuration::from_secs(10);
+/// Time after a subject's last line in which related lines are included. If a failure domain fails, the
+/// failure of its other runners is detected within this time.
+const TIME_AFTER: SignedDuration = SignedDuration::from_millis(500);
 
-/// What a story is about.
+/// The subject of a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -35,106 +36,109 @@
     Catalogue(u64),
 }
 
-/// The story of one subject.
+/// The history of a subject.
 #[derive(Debug, Serialize)]
 pub struct History {
-    /// What it is about.
+    /// The subject.
     pub subject: Subject,
-    /// What the lines point to.
+    /// Probable cause of the outcome.
     pub cause: String,
-    /// What happened, in order.
+    /// Events in chronological order.
     pub events: Vec<Event>,
 }
 
-/// One thing that happened.
+/// An event from a log line.
 #[derive(Debug, Serialize)]
 pub struct Event {
-    /// When, by the instance's clock.
+    /// Time, by the instance's clock.
     pub at: Timestamp,
-    /// At which instance.
+    /// Name of the instance.
     pub node: CompactString,
-    /// What, with what decided it.
+    /// Message and fields.
     pub text: String,
-    /// Whether the line names the subject itself.
+    /// Whether the line belongs to the subject itself.
     pub own: bool,
 }
 
 impl Subject {
-    /// What an id stands for, by the first line that names it.
+    /// Finds the subject with this id in the logs: a request, a runner or a catalogue version.
     pub fn find(logs: &Logs, id: &str) -> Option<Subject> {
-        let named = |fields: &[&str]| logs.lines.iter().any(|line| line.names(fields, id));
-        if named(&[REQUEST]) {
+        let is_logged = |fields: &[&str]| logs.lines.iter().any(|line| line.has_text(fields, id));
+        if is_logged(&[REQUEST_FIELD]) {
             return Some(Subject::Request(id.into()));
         }
-        if named(&RUNNERS) {
+        if is_logged(&RUNNER_FIELDS) {
             return Some(Subject::Runner(id.into()));
         }
         let version = id.parse().ok()?;
-        let known = logs.lines.iter().any(|line| is_catalogue(line, version));
-        known.then_some(Subject::Catalogue(version))
+        let is_known = logs.lines.iter().any(|line| is_catalogue(line, version));
+        is_known.then_some(Subject::Catalogue(version))
     }
 
-    fn is_named(&self, line: &Line) -> bool {
+    fn matches(&self, line: &Line) -> bool {
         match self {
-            Subject::Request(id) => line.names(&[REQUEST], id),
-            Subject::Runner(id) => line.names(&RUNNERS, id),
+            Subject::Request(id) => line.has_text(&[REQUEST_FIELD], id),
+            Subject::Runner(id) => line.has_text(&RUNNER_FIELDS, id),
             Subject::Catalogue(version) => is_catalogue(line, *version),
         }
     }
 }
 
 impl History {
-    /// Tells of a subject that at least one line names.
+    /// Reconstructs the history of a subject that at least one line belongs to.
     pub fn new(logs: &Logs, subject: &Subject) -> History {
-        let own: Vec<&Line> = logs.lines.iter().filter(|line| subject.is_named(line)).collect();
+        let own: Vec<&Line> = logs.lines.iter().filter(|line| subject.matches(line)).collect();
         let cause = match subject {
             Subject::Request(_) => cause::of_request(logs, &own),
             Subject::Runner(_) => cause::of_runner(&own),
             Subject::Catalogue(version) => cause::of_catalogue(logs, *version, &own),
         };
-        let around = Around::new(&own);
-        let shown = logs.lines.iter().filter(|line| subject.is_named(line) || around.has(line));
+        let related = RelatedLines::new(&own);
+        let shown =
+            logs.lines.iter().filter(|line| subject.matches(line) || related.contains(line));
         let event = |line: &Line| Event {
             at: line.at,
             node: line.node.clone(),
-            text: sentence(line),
-            own: subject.is_named(line),
+            text: format_line(line),
+            own: subject.matches(line),
         };
         History { subject: subject.clone(), cause, events: shown.map(event).collect() }
     }
 }
 
-/// What a request's lines lead to: its instances' dependencies and the runners that it met.
-struct Around {
+/// Selects the lines that are related to a subject: about the dependencies of its instances, or about its
+/// runners, and close in time.
+struct RelatedLines {
     nodes: BTreeSet<CompactString>,
     runners: BTreeSet<CompactString>,
     from: Timestamp,
     to: Timestamp,
 }
 
-impl Around {
-    fn new(own: &[&Line]) -> Around {
+impl RelatedLines {
+    fn new(own: &[&Line]) -> RelatedLines {
         let runner = |line: &&Line| {
-            let ids = RUNNERS.iter().filter_map(|field| line.text(field));
+            let ids = RUNNER_FIELDS.iter().filter_map(|field| line.text(field));
             ids.filter(|id| !id.is_empty()).map(CompactString::from).collect::<Vec<_>>()
         };
-        let edge = |line: Option<&&Line>| line.map_or(Timestamp::MIN, |line| line.order);
-        Around {
+        let time = |line: Option<&&Line>| line.map_or(Timestamp::MIN, |line| line.order);
+        RelatedLines {
             nodes: own.iter().map(|line| line.node.clone()).collect(),
             runners: own.iter().flat_map(runner).collect(),
-            from: edge(own.first()).saturating_sub(BEFORE).unwrap_or(Timestamp::MIN),
-            to: edge(own.last()).saturating_add(AFTER).unwrap_or(Timestamp::MAX),
+            from: time(own.first()).saturating_sub(TIME_BEFORE).unwrap_or(Timestamp::MIN),
+            to: time(own.last()).saturating_add(TIME_AFTER).unwrap_or(Timestamp::MAX),
         }
     }
 
-    /// Whether a line that names no request tells of the same instances' dependencies or runners.
-    fn has(&self, line: &Line) -> bool {
-        let near = (self.from..=self.to).contains(&line.order) && self.nodes.contains(&line.node);
+    /// Returns whether a line without a request id is related to the subject.
+    fn contains(&self, line: &Line) -> bool {
+        let is_near =
+            (self.from..=self.to).contains(&line.order) && self.nodes.contains(&line.node);
         let runner = |field| line.text(field).is_some_and(|id| self.runners.contains(id));
-        let about = line.fields.contains_key("table")
+        let is_relevant = line.fields.contains_key("table")
             || [IN_FORCE, SERVES].contains(&line.message.as_str())
-            || RUNNERS.into_iter().any(runner);
-        near && about && !line.fields.contains_key(REQUEST)
+            || RUNNER_FIELDS.into_iter().any(runner);
+        is_near && is_relevant && !line.fields.contains_key(REQUEST_FIELD)
     }
 }
 
@@ -157,10 +161,10 @@
     line.message == IN_FORCE && line.number("version") == Some(version)
 }
 
-/// The message and the fields that decided, empty ones and the request's own id aside.
-fn sentence(line: &Line) -> String {
+/// Formats the message and the fields of a line, except empty fields and the request id.
+fn format_line(line: &Line) -> String {
     let shown = line.fields.iter().filter(|(name, value)| {
-        *name != REQUEST && value.as_str().is_none_or(|text| !text.is_empty())
+        *name != REQUEST_FIELD && value.as_str().is_none_or(|text| !text.is_empty())
     });
     let field = |(name, value): (&String, &serde_json::Value)| match value.as_str() {
         Some(text) => format!("{name} {text}"),
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -1,4 +1,4 @@
-//! Log lines, as entry instances write them.
+//! Parsing of the log lines of entry instances.
 
 use {
     bilberryfront_relay::log_messages::SERVES,
@@ -11,31 +11,31 @@
 /// One line of an instance's log.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// When it was written, by the instance's clock.
+    /// Time of the line, by the instance's clock.
     pub at: Timestamp,
-    /// The latest time of it and the lines before it in its file: a clock that was set back doesn't change
-    /// the order in which an instance did things.
+    /// Latest time of this line and of all lines before it in its file, so that a clock that is set back
+    /// doesn't change the order of the lines.
     pub order: Timestamp,
-    /// The instance.
+    /// Name of the instance.
     pub node: CompactString,
-    /// What happened.
+    /// Log message.
     pub message: String,
-    /// What decided it.
+    /// Key-value pairs of the line.
     pub fields: Map<String, Value>,
 }
 
-/// The lines of all files, in the order in which they happened as far as clocks allow.
+/// The lines of all log files, ordered by time as far as the clocks are synchronized.
 #[derive(Debug, Default)]
 pub struct Logs {
     /// The lines.
     pub lines: Vec<Line>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
     pub unreadable: usize,
 }
 
-/// A line as JSON.
+/// The JSON form of a line.
 #[derive(Deserialize)]
-struct Written {
+struct JsonLine {
     timestamp: Timestamp,
     message: String,
     #[serde(default)]
@@ -43,12 +43,13 @@
 }
 
 impl Logs {
-    /// Adds the lines of one instance; `name` stands for it unless its lines tell their own.
+    /// Adds the log file of one instance. `name` is used as the name of the instance unless the log contains
+    /// it.
     pub fn add(&mut self, name: &str, text: &str) {
         let mut order = Timestamp::MIN;
         let first = self.lines.len();
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
-            let Ok(Written { timestamp: at, message, kvs: fields }) = serde_json::from_str(line)
+            let Ok(JsonLine { timestamp: at, message, kvs: fields }) = serde_json::from_str(line)
             else {
                 self.unreadable += 1;
                 continue;
@@ -66,18 +67,18 @@
 }
 
 impl Line {
-    /// A field that holds text.
+    /// Returns the value of a text field.
     pub fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field)?.as_str()
     }
 
-    /// A field that holds a number.
+    /// Returns the value of a numeric field.
     pub fn number(&self, field: &str) -> Option<u64> {
         self.fields.get(field)?.as_u64()
     }
 
-    /// Whether one of these fields holds this text.
-    pub fn names(&self, fields: &[&str], text: &str) -> bool {
+    /// Returns whether one of the fields has this text as its value.
+    pub fn has_text(&self, fields: &[&str], text: &str) -> bool {
         fields.iter().any(|field| self.text(field) == Some(text))
     }
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,15 +1,16 @@
-//! The operators' HTTP face: the server side on a node, the client side in the command line.
+//! HTTP API for operators: the server in a node and the client of the command line.
 //!
-//! - `GET /v1/catalogue`: the catalogue in force, [`crate::catalogue::store::CatalogueRevision`].
+//! - `GET /v1/catalogue`: the latest catalogue, [`crate::catalogue::store::CatalogueRevision`].
 //! - `PUT /v1/catalogue` with [`message::Proposal`]: [`message::Accepted`], or a problem.
-//! - `GET /v1/catalogue/history`: a list of [`crate::catalogue::store::HistoryEntry`], the newest first.
+//! - `GET /v1/catalogue/history`: a list of [`crate::catalogue::store::HistoryEntry`], newest first.
 //! - `GET /v1/nodes`: [`message::Nodes`].
 //! - `POST /v1/moves` with [`message::MoveRequest`]: [`message::MoveAccepted`], or a problem.
 //! - `GET /v1/moves`: a list of [`message::MoveReport`].
 //! - `GET /v1/moves/{entry}`: [`message::MoveReport`].
 //! - `POST /v1/moves/{entry}/undo`: [`message::MoveAccepted`], or a problem.
 //!
-//! Each call carries `Authorization: Bearer KEY`; every error is a problem document.
+//! Each request must have the header `Authorization: Bearer KEY`. Every error response is a problem
+//! document.
 
 pub mod client;
 pub mod control;
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! The client side of the operators' face.
+//! Client for the operators' API.
 
 use {
     super::{
@@ -21,17 +21,17 @@
     },
 };
 
-/// Longest wait for a connection.
+/// Maximum time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for an answer; the node may have to settle lost replies of the platform, and waits
-/// up to 20 s for a move's write.
+/// Maximum time to wait for a response. The node may have to retry after lost replies of the platform, and
+/// waits up to 20 s for the write of a move.
 const TIMEOUT: Duration = Duration::from_secs(25);
-/// Sends of a proposal whose answer is lost.
-const SENDS: u32 = 3;
-/// Pause before a proposal is sent again; grows with each send.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Maximum number of times a proposal is sent if responses are lost.
+const MAX_SENDS: u32 = 3;
+/// Pause before a proposal is sent again, multiplied by the number of previous sends.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// A node's operators' face.
+/// Client for the operators' API of a node.
 pub struct NodeClient {
     url: String,
     key: String,
@@ -39,7 +39,7 @@
 }
 
 impl NodeClient {
-    /// The node at base URL `url`, asked with `key`.
+    /// Creates a client for the node at base URL `url` that authenticates with `key`.
     pub fn new(url: String, key: String) -> NodeClient {
         let mut builder = Client::builder();
         builder.set_connect_timeout(CONNECT_TIMEOUT);
@@ -47,31 +47,31 @@
         NodeClient { url, key, client }
     }
 
-    /// The catalogue in force.
+    /// Returns the latest catalogue.
     pub async fn catalogue(&self) -> Result<CatalogueRevision> {
         self.call(Method::GET, "/v1/catalogue", None).await
     }
 
-    /// The newest changes of the catalogue.
+    /// Returns the latest changes of the catalogue.
     pub async fn history(&self) -> Result<Vec<HistoryEntry>> {
         self.call(Method::GET, "/v1/catalogue/history", None).await
     }
 
-    /// Every node that the node knows of.
+    /// Returns all nodes known to the node.
     pub async fn nodes(&self) -> Result<Nodes> {
         self.call(Method::GET, "/v1/nodes", None).await
     }
 
-    /// Asks for a new catalogue to be in force.
+    /// Applies a new catalogue.
     ///
-    /// An answer can be lost when the node goes away after the change was accepted. Sending the same
-    /// proposal again is safe: its apply id makes the store return the first outcome. Once an answer
-    /// was lost, "nothing was done" is true of the later send only and would mislead the operator,
-    /// so the first error is kept until a send is accepted or reports a conflict.
+    /// A response can be lost if the node stops after it accepted the change. Sending the same proposal
+    /// again is safe: its apply id makes the store return the first outcome. After a lost response, the
+    /// error "nothing was done" applies to the later send only and would mislead the operator, so the first
+    /// error is returned unless a send is accepted or reports a conflict.
     pub async fn propose(&self, proposal: &Proposal) -> Result<Accepted> {
         let body = serde_json::to_string(proposal).expect("proposals always serialize");
         let mut first_error = None;
-        for send in 1..=SENDS {
+        for send in 1..=MAX_SENDS {
             match self.call(Method::PUT, "/v1/catalogue", Some(&body)).await {
                 Ok(accepted) => return Ok(accepted),
                 Err(error @ Error::Conflict { .. }) => return Err(error),
@@ -81,17 +81,17 @@
                 Err(error) if first_error.is_none() => return Err(error),
                 Err(_) => {}
             }
-            tokio::time::sleep(PAUSE * send).await;
+            tokio::time::sleep(RETRY_PAUSE * send).await;
         }
-        Err(first_error.expect("every other send returns"))
+        Err(first_error.expect("every other result of a send returns"))
     }
 
-    /// How the latest moves of all entries stand.
+    /// Returns the status of the latest move of every entry.
     pub async fn moves(&self) -> Result<Vec<MoveReport>> {
         self.call(Method::GET, "/v1/moves", None).await
     }
 
-    /// How the latest move of an entry stands. Names of entries are path segments as they are.
+    /// Returns the status of the latest move of an entry. Entry names need no escaping in paths.
     pub async fn move_of(&self, entry: &str) -> Result<MoveReport> {
         self.call(Method::GET, &format!("/v1/moves/{entry}"), None).await
     }
@@ -103,7 +103,7 @@
         self.call(Method::POST, "/v1/moves", Some(&body)).await
     }
 
-    /// Takes the move of an entry back.
+    /// Rolls back the move of an entry.
     pub async fn undo_move(&self, entry: &str) -> Result<MoveAccepted> {
         let path = format!("/v1/moves/{entry}/undo");
         self.call(Method::POST, &path, None).await
@@ -131,13 +131,13 @@
         };
         match tokio::time::timeout(TIMEOUT, exchange).await {
             Ok(answer) => answer,
-            Err(_) => Err(self.lost("no answer in time")),
+            Err(_) => Err(self.lost("no response in time")),
         }
     }
 
     fn refusal(&self, status: StatusCode, body: &[u8]) -> Error {
         let Ok(problem) = serde_json::from_slice::<Problem>(body) else {
-            return self.lost(format!("status {status} without a problem document"));
+            return self.lost(format!("got status {status} without a problem document"));
         };
         match problem.kind.as_str() {
             CONFLICT => Error::Conflict { detail: problem.detail },
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -1,4 +1,4 @@
-//! What the operators' face sees of a running node.
+//! Access of the operators' API to a running node.
 
 use {
     super::{
@@ -19,16 +19,16 @@
     compact_str::CompactString,
 };
 
-/// The node that is asked, as the operators see it.
+/// Handle to the node that serves the API.
 #[derive(Clone)]
 pub struct NodeHandle {
-    /// Its control thread.
+    /// Handle to the control thread.
     pub control: Control,
-    /// Its name.
+    /// Name of the node.
     pub name: CompactString,
-    /// Its present life.
+    /// Identifies this run of the node.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Location and addresses of the node.
     pub location: NodeLocation,
 }
 
@@ -47,13 +47,13 @@
 }
 
 impl NodeHandle {
-    /// Name of the node in this life; a life that isn't known any more has none.
-    pub(super) fn name_of(&self, life: Incarnation) -> Option<CompactString> {
-        if life == self.incarnation {
+    /// Returns the name of the node with this incarnation; `None` if it is no longer known.
+    pub(super) fn name_of(&self, incarnation: Incarnation) -> Option<CompactString> {
+        if incarnation == self.incarnation {
             return Some(self.name.clone());
         }
         let view = self.control.view();
-        view.nodes.iter().find(|n| n.incarnation == life).map(|n| n.name.clone())
+        view.nodes.iter().find(|n| n.incarnation == incarnation).map(|n| n.name.clone())
     }
 
     fn own(&self, view: &View) -> NodeRow {
--- a/src/operator/deadline.rs
+++ b/src/operator/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines as operators write them.
+//! Deadlines given by operators.
 
 use {
     jiff::{SignedDuration, Timestamp},
@@ -9,25 +9,25 @@
 /// A result whose error is a [`BadDeadline`].
 pub type Result<T> = std::result::Result<T, BadDeadline>;
 
-/// A time to come.
+/// A deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Deadline {
-    /// At this time.
+    /// An absolute time.
     At(Timestamp),
-    /// So long after the node takes it, so that the operator's clock doesn't matter.
+    /// A duration from when the node receives the request, independent of the operator's clock.
     In(SignedDuration),
 }
 
-/// A text that is no deadline.
+/// Error of a text that is not a deadline.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("`{0}` is neither a time such as 2026-12-03T18:00:00Z nor a duration such as 1h 30m")]
 pub struct BadDeadline(String);
 
 impl Deadline {
-    /// The time that is meant at `now`; none beyond the calendar.
+    /// Returns the absolute time for a request received at `now`; `None` if it is not representable.
     pub fn from(self, now: Timestamp) -> Option<Timestamp> {
         match self {
             Deadline::At(time) => Some(time),
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operators' face.
+//! Request and response bodies of the operators' API.
 
 use {
     super::deadline::Deadline,
@@ -12,41 +12,41 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A catalogue that shall be in force.
+/// A request to apply a catalogue.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// The revision that it was made from; refused when that isn't the newest any more.
+    /// The revision it is based on; the proposal is rejected unless that is the latest one.
     pub expect: Revision,
-    /// Random id, the same when the proposal is sent again.
+    /// Random id, the same for each retry of the proposal.
     pub apply: CompactString,
-    /// Why, in the operator's words.
+    /// Comment of the operator.
     #[serde(default)]
     pub comment: String,
-    /// The whole catalogue.
+    /// The complete catalogue.
     pub catalogue: CatalogDoc,
 }
 
-/// A proposal is in force.
+/// Response to an applied proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Accepted {
-    /// Its number.
+    /// Revision of the catalogue.
     pub revision: Revision,
 }
 
-/// The nodes that a node knows of.
+/// The nodes known to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Nodes {
-    /// Catalogue revision that the answering node has in force.
+    /// Current catalogue revision of the responding node.
     pub revision: Revision,
-    /// Every node known, the answering one included.
+    /// All known nodes, including the responding one.
     pub nodes: Vec<NodeRow>,
 }
 
-/// A node as the answering node knows it.
+/// A node, as known to the responding node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct NodeRow {
@@ -54,16 +54,16 @@
     pub name: CompactString,
     /// Failure domain.
     pub domain: CompactString,
-    /// Callers' address.
+    /// Address for callers.
     pub url: CompactString,
-    /// State in the node's life, such as `live` or `leaving`.
+    /// State of the node, such as `ready` or `leaving`.
     pub state: CompactString,
-    /// Catalogue revision that the node has in force, where it is known.
+    /// Current catalogue revision of the node, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<Revision>,
 }
 
-/// A version move that shall start.
+/// A request to start a version move.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
@@ -74,27 +74,27 @@
     pub to: CompactString,
     /// Deadline.
     pub by: Deadline,
-    /// What the operator cares for.
+    /// Relative importance of meeting the deadline, of detecting faulty versions and of extra runners.
     #[serde(default)]
     pub weights: Weights,
-    /// Whether to go on although the time is too short for the evidence.
+    /// Whether to start although the deadline is too close to collect enough evidence.
     #[serde(default)]
     pub force: bool,
 }
 
-/// A move was started or is being taken back.
+/// Response to the start or the rollback of a move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct MoveAccepted {
-    /// Its id.
+    /// Id of the move.
     pub id: CompactString,
 }
 
-/// How the latest move of an entry stands, as the answering node knows it.
+/// Status of the latest move of an entry, as known to the responding node.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct MoveReport {
-    /// Its id in 16 hex digits; random.
+    /// Random id of the move, in 16 hex digits.
     pub id: CompactString,
     /// Catalogue entry.
     pub entry: CompactString,
@@ -102,70 +102,70 @@
     pub from: CompactString,
     /// New version.
     pub to: CompactString,
-    /// When it was asked for.
+    /// Time of the request to start it.
     pub started: Timestamp,
     /// Deadline.
     pub by: Timestamp,
     /// Milliseconds until the deadline.
     pub left: Millis,
-    /// Whether it goes on although the time is too short for the evidence.
+    /// Whether it continues although the deadline is too close to collect enough evidence.
     pub force: bool,
-    /// What its operator cares for.
+    /// Relative importance of meeting the deadline, of detecting faulty versions and of extra runners.
     pub weights: Weights,
-    /// How far it has come.
+    /// State.
     pub state: MoveState,
-    /// Step that it is at, from 1; absent when the steps are over.
+    /// Current step, from 1; absent after the last one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub step: Option<u8>,
-    /// Steps planned.
+    /// Number of planned steps.
     pub steps: usize,
-    /// Why it was taken back.
+    /// Why it was rolled back.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub verdict: Option<MoveVerdict>,
-    /// Share that the table allows the new version, in ten-thousandths.
+    /// Share of requests that the table permits for the new version, in ten-thousandths.
     pub share: Share,
-    /// Share that the answering node gives it at the moment, in ten-thousandths.
+    /// Share that the responding node currently gives to the new version, in ten-thousandths.
     pub here: Share,
-    /// Name of the node that steps the move, where it is known.
+    /// Name of the node that advances the move, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub holder: Option<CompactString>,
-    /// What it waits for.
+    /// What the move is waiting for.
     pub waiting: Waiting,
-    /// What it does then.
+    /// Next action.
     pub next: Next,
-    /// What both versions' requests showed, by route.
+    /// Results of the requests of both versions, by route.
     pub routes: Vec<RouteStatus>,
 }
 
-/// How far a move has come.
+/// State of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MoveState {
-    /// The share grows step by step.
+    /// The share of the new version is increased in steps.
     Moving,
-    /// The new version has every request; the catalogue doesn't name it yet.
+    /// All requests use the new version, which isn't in the catalogue yet.
     Settled,
-    /// Done: the catalogue names the new version.
+    /// Completed: the catalogue has the new version.
     Adopted,
-    /// Given up.
+    /// Rolled back.
     TakenBack,
 }
 
 impl MoveState {
-    /// Whether nothing comes after it.
+    /// Returns whether the state is final.
     pub fn is_final(self) -> bool {
         matches!(self, MoveState::Adopted | MoveState::TakenBack)
     }
 }
 
-/// Why a move was taken back.
+/// The reason for the rollback of a move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct MoveVerdict {
-    /// Why.
+    /// Cause.
     pub cause: Cause,
-    /// Route on which it showed; empty for all together.
+    /// Route on which it was detected; empty for all routes together.
     pub route: CompactString,
     /// Name of the node that decided.
     pub node: CompactString,
--- a/src/operator/moves.rs
+++ b/src/operator/moves.rs
@@ -1,7 +1,7 @@
-//! The operators' face of version moves.
+//! The operators' API for version moves.
 //!
-//! Every node answers: the rows of all moves are in the table, which every node reads, and a start is
-//! a conditional write that any node can make.
+//! Every node provides it: the rows of all moves are in the table, which every node reads, and a start is
+//! a conditional write that any node can perform.
 
 use {
     super::{
@@ -26,38 +26,38 @@
     },
 };
 
-/// The operators' face of a node's moves.
+/// The API for version moves of a node.
 pub struct MovesApi {
-    /// Keys that may be used.
+    /// Accepted keys.
     pub keys: Keys,
     /// The node.
     pub node: NodeHandle,
 }
 
-/// The routes of moves, without a fallback.
-pub fn router(face: MovesApi) -> Router {
-    let face = Arc::new(face);
+/// Returns the router of the API for moves, without a fallback.
+pub fn router(api: MovesApi) -> Router {
+    let api = Arc::new(api);
     let all = {
-        let (read, write) = (face.clone(), face.clone());
+        let (read, write) = (api.clone(), api.clone());
         get(move |request: Request| {
-            let face = read.clone();
-            async move { answer(face.list(request.headers()).await) }
+            let api = read.clone();
+            async move { answer(api.list(request.headers()).await) }
         })
         .post(move |request: Request| {
-            let face = write.clone();
-            async move { answer(face.start(request).await) }
+            let api = write.clone();
+            async move { answer(api.start(request).await) }
         })
     };
     let one = {
-        let face = face.clone();
+        let api = api.clone();
         get(move |PathParams(entry): PathParams<String>, request: Request| {
-            let face = face.clone();
-            async move { answer(face.status(&entry, request.headers()).await) }
+            let api = api.clone();
+            async move { answer(api.status(&entry, request.headers()).await) }
         })
     };
     let undo = post(move |PathParams(entry): PathParams<String>, request: Request| {
-        let face = face.clone();
-        async move { answer(face.undo(&entry, request.headers()).await) }
+        let api = api.clone();
+        async move { answer(api.undo(&entry, request.headers()).await) }
     });
     Router::new()
         .route("/v1/moves", all)
@@ -67,13 +67,13 @@
 
 impl MovesApi {
     async fn list(&self, headers: &HeaderMap) -> Result<Vec<MoveReport>> {
-        self.operator(headers)?;
+        self.authenticate(headers)?;
         let moves = self.node.control.moves().list().await;
         Ok(moves.into_iter().map(|s| report(&self.node, s)).collect())
     }
 
     async fn status(&self, entry: &str, headers: &HeaderMap) -> Result<MoveReport> {
-        self.operator(headers)?;
+        self.authenticate(headers)?;
         self.versions(entry)?;
         let moves = self.node.control.moves().list().await;
         let status = moves.into_iter().find(|s| s.moved.entry == entry);
@@ -81,30 +81,30 @@
     }
 
     async fn start(&self, request: Request) -> Result<MoveAccepted> {
-        let who = self.operator(request.headers())?;
+        let who = self.authenticate(request.headers())?;
         let body = read(request.into_body()).await?;
-        let wanted = serde_json::from_slice::<MoveRequest>(&body)
+        let requested = serde_json::from_slice::<MoveRequest>(&body)
             .map_err(|e| Refusal::Body(e.to_string()))?;
-        let versions = self.versions(&wanted.entry)?;
-        if !versions.contains(&wanted.to) {
-            return Err(Refusal::NoVersion { to: wanted.to, versions });
+        let versions = self.versions(&requested.entry)?;
+        if !versions.contains(&requested.to) {
+            return Err(Refusal::NoVersion { to: requested.to, versions });
         }
-        let MoveRequest { entry, to, by, weights, force } = wanted;
+        let MoveRequest { entry, to, by, weights, force } = requested;
         let by = by.from(Timestamp::now()).unwrap_or(Timestamp::MAX);
         let by = Millis::try_from(by.as_millisecond()).unwrap_or_default();
         let start = Start { entry: entry.clone(), to, by, weights, force };
         let moved = self.node.control.moves().start(start).await;
         let id = moved.map(id).map_err(|e| refusal(&entry, e))?;
-        log::info!("move {id} of {entry} was started by {who}");
+        log::info!("version move {id} of {entry} started by {who}");
         Ok(MoveAccepted { id })
     }
 
     async fn undo(&self, entry: &str, headers: &HeaderMap) -> Result<MoveAccepted> {
-        let who = self.operator(headers)?;
+        let who = self.authenticate(headers)?;
         self.versions(entry)?;
         let moved = self.node.control.moves().undo(entry.into()).await;
         let id = moved.map(id).map_err(|e| refusal(entry, e))?;
-        log::info!("move {id} of {entry} was undone by {who}");
+        log::info!("version move {id} of {entry} rolled back by {who}");
         Ok(MoveAccepted { id })
     }
 
@@ -118,8 +118,8 @@
         }
     }
 
-    fn operator(&self, headers: &HeaderMap) -> Result<CompactString> {
-        self.keys.holder(headers).ok_or(Refusal::Key)
+    fn authenticate(&self, headers: &HeaderMap) -> Result<CompactString> {
+        self.keys.operator(headers).ok_or(Refusal::Key)
     }
 }
 
--- a/src/operator/refusal.rs
+++ b/src/operator/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals of the operators' face and their problem documents.
+//! Error responses of the operators' API: rejections and their problem documents.
 
 use {
     crate::catalogue::store::StoreError,
@@ -14,96 +14,95 @@
     volo_http::body::Body,
 };
 
-/// Kind of the problem that tells a conflict.
+/// Problem type of a conflict with another change.
 pub const CONFLICT: &str = "/problems/conflict";
-/// Kind of the problem that tells an outage of the platform.
+/// Problem type of an outage of the platform.
 pub const STORE_DOWN: &str = "/problems/store-down";
-/// Kind of the problem that tells a change whose replies were lost.
+/// Problem type of a change whose replies were lost.
 pub const UNKNOWN: &str = "/problems/unknown-outcome";
-
-/// Kind of the problem that tells a move whose write got no answer.
+/// Problem type of a move whose write got no reply.
 pub const MOVE_UNKNOWN: &str = "/problems/move-unknown";
 
-/// Seconds after which to ask again while the platform is down.
+/// `Retry-After` while the platform is unavailable, in seconds.
 const RETRY_SECONDS: u32 = 5;
 
-/// Why an operator's call is refused.
+/// Reason for the rejection of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Refusal {
-    /// No or a wrong key.
+    /// The key is missing or not accepted.
     #[error("send `Authorization: Bearer KEY` with a key whose digest the node's settings list")]
     Key,
-    /// No such path.
-    #[error("nothing is at this path; see docs/OPERATORS.md")]
+    /// The path doesn't exist.
+    #[error("this path does not exist; see docs/OPERATORS.md")]
     Path,
-    /// The body is longer than any catalogue.
-    #[error("the body is longer than {0} bytes")]
+    /// The body is too long.
+    #[error("the body exceeds {0} bytes")]
     Long(usize),
-    /// The body isn't of the path's form.
-    #[error("the body is not of the form that the path takes: {0}")]
+    /// The body can't be parsed.
+    #[error("the body is malformed: {0}")]
     Body(String),
-    /// The catalogue has faults.
+    /// The catalogue is invalid.
     #[error("{}", .0.join("; "))]
     Faults(Vec<String>),
-    /// Another change came first.
+    /// Another change was applied first.
     #[error("revision {now} is in force and not {expect}; read it, merge and apply again")]
     Conflict {
         /// The revision that was expected.
         expect: Revision,
-        /// The revision in force.
+        /// The latest revision.
         now: Revision,
     },
     /// The node has no catalogue yet.
     #[error("the node has no catalogue yet: apply one, or ask again in a few seconds")]
     NoCatalog,
-    /// Not an entry of the catalogue in force.
+    /// The entry isn't in the catalogue.
     #[error("the catalogue has no entry `{0}`")]
     NoEntry(CompactString),
-    /// The new version isn't among the entry's.
+    /// The entry doesn't have the new version.
     #[error("version `{to}` is not among the entry's versions: {}", versions.join(", "))]
     NoVersion {
-        /// The version that was asked for.
+        /// The requested version.
         to: CompactString,
         /// The entry's versions.
         versions: Vec<CompactString>,
     },
-    /// The entry was never moved.
+    /// The entry has had no version move.
     #[error("entry `{0}` has had no move")]
     NoMove(CompactString),
-    /// No move can be taken back.
+    /// There is no move to roll back.
     #[error("no move of entry `{0}` is under way")]
     MoveOver(CompactString),
-    /// The catalogue names the new version already.
+    /// The entry already has the new version.
     #[error("the entry has version `{0}` already")]
     SameVersion(CompactString),
-    /// Another move of the entry is under way, with this id.
-    #[error("move {0} of the entry is under way; it settles or is undone first")]
+    /// Another move of the entry is in progress, with this id.
+    #[error("move {0} of the entry is in progress; wait until it ends, or undo it")]
     OtherMove(CompactString),
-    /// The deadline leaves no time for the evidence.
+    /// The deadline is too close to collect the evidence.
     #[error(
-        "the evidence takes {} s: the earliest deadline is {earliest}; give that, or force the move \
-         and do with less evidence",
+        "collecting the evidence takes {} s: the earliest deadline is {earliest}; use that, or force the \
+         move with less evidence",
         takes.as_secs()
     )]
     Late {
-        /// Shortest time that would do.
+        /// Minimum duration of the move.
         takes: Duration,
-        /// Earliest deadline from now.
+        /// Earliest possible deadline.
         earliest: Timestamp,
     },
-    /// The table gave no answer to a move's write.
-    #[error("the table service gives no answer; the move may still take effect")]
+    /// The table did not reply to the write of a move.
+    #[error("the table service did not reply; the move may still take effect")]
     MoveUnknown,
-    /// The platform gave no answer.
+    /// Error of the catalogue store.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
 impl Refusal {
-    /// The deadline is too close at `now` for evidence that takes so long.
+    /// Creates the rejection of a deadline that is too close at `now` for a move that takes `takes`.
     pub fn late(now: Timestamp, takes: Duration) -> Refusal {
-        // Rounds up, so that echoing the reported time is accepted.
+        // Rounded up, so that the reported time is accepted as a deadline.
         let earliest = now.checked_add(takes + Duration::from_secs(1)).unwrap_or(Timestamp::MAX);
         let earliest = earliest.round(Unit::Second).unwrap_or(earliest);
         Refusal::Late { takes, earliest }
@@ -162,18 +161,18 @@
             Refusal::Store(StoreError::Unknown { .. }) | Refusal::MoveUnknown => Run::Unknown,
             _ => Run::NotRun,
         };
-        let helps = status == StatusCode::SERVICE_UNAVAILABLE;
+        let is_retryable = status == StatusCode::SERVICE_UNAVAILABLE;
         Problem {
             kind: kind.into(),
             title: title.into(),
             status: status.as_u16(),
             detail: self.to_string(),
             run,
-            retry_after: helps.then_some(RETRY_SECONDS),
+            retry_after: is_retryable.then_some(RETRY_SECONDS),
         }
     }
 
-    /// The answer that tells the refusal.
+    /// Returns the response with the problem document.
     pub fn response(&self) -> Response<Body> {
         let problem = self.problem();
         let body = serde_json::to_string(&problem).expect("problems always serialize");
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -13,12 +13,13 @@
     jiff::Timestamp,
 };
 
-/// A move's id as operators see it. Not a number: JSON readers round numbers of 64 bits.
+/// Formats the id of a move for operators. A JSON number would not do: many JSON parsers round 64-bit
+/// numbers.
 pub(super) fn id(id: MoveId) -> CompactString {
     format_compact!("{:016x}", id.0)
 }
 
-/// The report of a node that was asked.
+/// Returns the report of a move by the responding node.
 pub(super) fn report(handle: &NodeHandle, status: Status) -> MoveReport {
     let step = match status.standing {
         Standing::Moving(step) => Some(step + 1),
@@ -59,12 +60,12 @@
 
 fn verdict(handle: &NodeHandle, verdict: &Verdict) -> MoveVerdict {
     let Verdict { cause, ref route, node } = *verdict;
-    let gone = |Incarnation(life)| format_compact!("a former node ({life:016x})");
-    let node = handle.name_of(node).unwrap_or_else(|| gone(node));
+    let unknown = |Incarnation(id)| format_compact!("a former node ({id:016x})");
+    let node = handle.name_of(node).unwrap_or_else(|| unknown(node));
     MoveVerdict { cause, route: route.clone(), node }
 }
 
-/// A row's time; one beyond the calendar is shown as its end.
+/// Converts the time of a row; a time after the last representable one is replaced by that.
 fn time(millis: Millis) -> Timestamp {
     let millis = i64::try_from(millis).unwrap_or(i64::MAX);
     Timestamp::from_millisecond(millis).unwrap_or(Timestamp::MAX)
--- a/src/operator/server.rs
+++ b/src/operator/server.rs
@@ -1,4 +1,4 @@
-//! The server side of the operators' face.
+//! Server of the operators' API.
 
 use {
     super::{
@@ -27,53 +27,53 @@
 /// A result whose error is a [`Refusal`].
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// Longest body: the largest catalogue with room to spare.
+/// Maximum size of a body, in bytes; larger than the largest catalogue.
 pub const MAX_BODY: usize = 16 << 20;
-/// Changes in an answer to `GET /v1/catalogue/history`.
-const HISTORY: u32 = 50;
+/// Number of changes in a response to `GET /v1/catalogue/history`.
+const HISTORY_LIMIT: u32 = 50;
 
-/// What the face needs of the node that it stands on.
+/// The operations that the API needs of the node.
 pub trait Control: Send + Sync + 'static {
-    /// Every node that this one knows of, itself included.
+    /// Returns all known nodes, including this one.
     fn nodes(&self) -> Nodes;
-    /// Takes a catalogue that was just accepted, and tells peers; must not block.
+    /// Applies a catalogue that was just accepted, and sends it to peers; must not block.
     fn accepted(&self, numbered: CatalogueRevision);
 }
 
-/// The operators' face of a node.
+/// The operators' API of a node.
 pub struct OperatorApi<T, C> {
-    /// The catalogue.
+    /// Store of the catalogue.
     pub store: Store<T>,
-    /// Keys that may be used.
+    /// Accepted keys.
     pub keys: Keys,
     /// The node.
     pub control: C,
 }
 
-/// The face's routes.
-pub fn router<T: Table, C: Control>(face: OperatorApi<T, C>) -> Router {
-    let face = Arc::new(face);
+/// Returns the router of the API.
+pub fn router<T: Table, C: Control>(api: OperatorApi<T, C>) -> Router {
+    let api = Arc::new(api);
     let catalogue = {
-        let (read, write) = (face.clone(), face.clone());
+        let (read, write) = (api.clone(), api.clone());
         get(move |request: Request| {
-            let face = read.clone();
-            async move { answer(face.catalogue(request.headers()).await) }
+            let api = read.clone();
+            async move { answer(api.catalogue(request.headers()).await) }
         })
         .put(move |request: Request| {
-            let face = write.clone();
-            async move { answer(face.put(request).await) }
+            let api = write.clone();
+            async move { answer(api.put(request).await) }
         })
     };
     let history = {
-        let face = face.clone();
+        let api = api.clone();
         get(move |request: Request| {
-            let face = face.clone();
-            async move { answer(face.history(request.headers()).await) }
+            let api = api.clone();
+            async move { answer(api.history(request.headers()).await) }
         })
     };
     let nodes = get(move |request: Request| {
-        let face = face.clone();
-        async move { answer(face.nodes(request.headers())) }
+        let api = api.clone();
+        async move { answer(api.nodes(request.headers())) }
     });
     Router::new()
         .route("/v1/catalogue", catalogue)
@@ -84,26 +84,26 @@
 
 impl<T: Table, C: Control> OperatorApi<T, C> {
     async fn catalogue(&self, headers: &HeaderMap) -> Result<CatalogueRevision> {
-        self.operator(headers)?;
+        self.authenticate(headers)?;
         Ok(self.store.get().await?)
     }
 
     async fn history(&self, headers: &HeaderMap) -> Result<impl Serialize> {
-        self.operator(headers)?;
-        Ok(self.store.history(HISTORY).await?)
+        self.authenticate(headers)?;
+        Ok(self.store.history(HISTORY_LIMIT).await?)
     }
 
     fn nodes(&self, headers: &HeaderMap) -> Result<Nodes> {
-        self.operator(headers)?;
+        self.authenticate(headers)?;
         Ok(self.control.nodes())
     }
 
     async fn put(&self, request: Request) -> Result<Accepted> {
-        let who = self.operator(request.headers())?;
+        let who = self.authenticate(request.headers())?;
         let body = read(request.into_body()).await?;
         let proposal =
             serde_json::from_slice::<Proposal>(&body).map_err(|e| Refusal::Body(e.to_string()))?;
-        check(&proposal)?;
+        validate(&proposal)?;
         let Proposal { expect, apply, comment, catalogue } = proposal;
         let change = Change { apply, who, when: Timestamp::now(), comment };
         match self.store.apply(&catalogue, expect, &change).await? {
@@ -115,8 +115,8 @@
         }
     }
 
-    fn operator(&self, headers: &HeaderMap) -> Result<CompactString> {
-        self.keys.holder(headers).ok_or(Refusal::Key)
+    fn authenticate(&self, headers: &HeaderMap) -> Result<CompactString> {
+        self.keys.operator(headers).ok_or(Refusal::Key)
     }
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-fn check(proposal: &Proposal) -> Result<()> {
+fn validate(proposal: &Proposal) -> Result<()> {
     let faults = proposal.catalogue.check();
     match faults.is_empty() {
         true => Ok(()),
