--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -164,9 +164,7 @@
         let now = Instant::now();
         match received {
             Received::Broken(name) => self.members.broken(now, &name, out),
-            Received::Message { message: PeerMessage::CatalogPush(push), .. } => {
-                self.apply_push(push)
-            }
+            Received::Message { message: PeerMessage::CatalogPush(push), .. } => self.apply(push),
             Received::Message { message: PeerMessage::Move(updates), .. } => {
                 self.control.moves().receive(updates);
             }
@@ -176,7 +174,7 @@
 
     /// Applies a catalogue from another node. It was checked when it was accepted and is checked
     /// again, because a peer that runs another version may accept more.
-    fn apply_push(&self, push: CatalogPush) {
+    fn apply(&self, push: CatalogPush) {
         let CatalogPush { revision, doc } = push;
         match serde_json::from_str::<CatalogDoc>(&doc) {
             Ok(catalogue) if catalogue.check().is_empty() => {
