--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -135,7 +135,7 @@
         };
         let grant = match self.control.ask(ask).await {
             Ok(grant) => grant,
-            Err(refuse) => return self.handle_rejection(&refuse),
+            Err(refuse) => return self.on_rejection(&refuse),
         };
         if self.purpose == Purpose::Again {
             self.control.metrics().add(Counter::Resumes, 1);
@@ -151,7 +151,7 @@
                 self.current = Some(OpenAttempt { upstream, lease, pending: None });
                 None
             }
-            Err(failure) => self.handle_failure(failure, lease),
+            Err(failure) => self.on_failure(failure, lease),
         }
     }
 
@@ -191,9 +191,7 @@
                     return self.yield_batch(open, batch);
                 }
                 Ok(RunnerEvent::Done) => return self.abort(open, batch, Verdict::Garbled),
-                Err(failure) if batch.is_empty() => {
-                    return self.handle_failure(failure, open.lease);
-                }
+                Err(failure) if batch.is_empty() => return self.on_failure(failure, open.lease),
                 Err(failure) => {
                     open.pending = Some(Err(failure));
                     return self.yield_batch(open, batch);
@@ -238,7 +236,7 @@
     ) -> Option<Piece> {
         let failure = Failure::Lost(verdict);
         if batch.is_empty() {
-            return self.handle_failure(failure, open.lease);
+            return self.on_failure(failure, open.lease);
         }
         open.pending = Some(Err(failure));
         self.yield_batch(open, batch)
@@ -246,7 +244,7 @@
 
     fn finish(&mut self, mut open: OpenAttempt<E::Stream>, finish: Finish) -> Option<Piece> {
         if !self.generation.finish(&finish) {
-            return self.handle_failure(Failure::Lost(Verdict::Garbled), open.lease);
+            return self.on_failure(Failure::Lost(Verdict::Garbled), open.lease);
         }
         open.lease.verdict = Verdict::Ok;
         Some(Piece::Finish(finish.reason))
@@ -254,7 +252,7 @@
 
     /// Handles a failed attempt: prepares another one, unless the response is complete or no retry is
     /// allowed.
-    fn handle_failure(&mut self, failure: Failure, mut lease: Lease) -> Option<Piece> {
+    fn on_failure(&mut self, failure: Failure, mut lease: Lease) -> Option<Piece> {
         let verdict = match failure {
             Failure::Lost(verdict) => verdict,
             Failure::Unsent => Verdict::Broken,
@@ -289,7 +287,7 @@
     /// Handles a rejection by the core: starts over if no token was delivered and another version may
     /// serve the request, otherwise ends the generation. A request rejected by the retry budget is not
     /// started over: that would bypass the budget, and the retries would overload the remaining runners.
-    fn handle_rejection(&mut self, refuse: &Refuse) -> Option<Piece> {
+    fn on_rejection(&mut self, refuse: &Refuse) -> Option<Piece> {
         let has_no_runner = refuse.reason == Reason::NoRunner;
         let can_restart = self.generation.restart() || self.generation.pin().is_none();
         if has_no_runner
