--- a/crates/relay/src/control/catalog.rs
+++ b/crates/relay/src/control/catalog.rs
@@ -1,4 +1,4 @@
-//! Applies the operators' rows.
+//! Application of the operators' rows.
 
 use {
     super::Control,
@@ -15,21 +15,21 @@
     pub(super) fn apply_operator_rows(&mut self, rows: &[Row]) {
         for row in rows {
             if row.key == R::CATALOG {
-                self.put_in_force(row);
+                self.apply_catalog(row);
             } else {
                 self.apply_rollout_order(row);
             }
         }
     }
 
-    /// Applies a catalogue from the store or a peer. Only a newer one is applied, because responses
-    /// may be reordered.
-    pub(super) fn put_in_force(&mut self, row: &Row) {
+    /// Applies a catalogue from the store or a peer if it is newer than the current one, since
+    /// responses may arrive out of order.
+    pub(super) fn apply_catalog(&mut self, row: &Row) {
         let Some(value) = &row.value else { return };
-        if self.row.as_ref().is_some_and(|(held, _)| row.revision <= *held) {
+        if self.row.as_ref().is_some_and(|(current, _)| row.revision <= *current) {
             return;
         }
-        match self.records.catalog(value) {
+        match self.records.parse_catalog(value) {
             Ok(catalog) if self.is_newer(&catalog) => {
                 log::info!(version = catalog.version, revision = row.revision;
                     "{IN_FORCE}");
@@ -45,6 +45,6 @@
     }
 
     fn is_newer(&self, catalog: &Catalog) -> bool {
-        self.catalog.as_ref().is_none_or(|held| catalog.version > held.version)
+        self.catalog.as_ref().is_none_or(|current| catalog.version > current.version)
     }
 }
--- a/crates/relay/src/fleet/load.rs
+++ b/crates/relay/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! Load accounting per runner, own and reported by peers.
+//! Load of each runner, by this node and as reported by peers.
 
 use {
     super::{Fleet, Runner},
@@ -12,17 +12,17 @@
     tokio::{sync::Notify, time::Instant},
 };
 
-/// Age at which a peer's report expires; peers refresh theirs every second.
-const STALE: Duration = Duration::from_millis(2_500);
+/// Age at which a peer's report expires; peers repeat theirs every second.
+const REPORT_TTL: Duration = Duration::from_millis(2_500);
 
-/// Load on an engine.
+/// Load of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Running requests.
+    /// Number of running requests.
     pub running: u32,
-    /// KV memory reserved by them and by replicas, in tokens.
+    /// KV memory reserved by these requests and by replicas, in tokens.
     pub memory: u32,
-    /// Prompt tokens not yet prefilled.
+    /// Number of prompt tokens that are not prefilled yet.
     pub unread: u32,
 }
 
@@ -42,10 +42,10 @@
     }
 }
 
-/// Latest report of each peer about one runner.
+/// Latest report of each peer on one runner.
 #[derive(Debug, Default)]
 pub(super) struct PeerLoads {
-    update: Vec<PeerLoad>,
+    reports: Vec<PeerLoad>,
 }
 
 #[derive(Debug)]
@@ -57,54 +57,54 @@
 
 impl PeerLoads {
     fn apply_peer_load(&mut self, from: &CompactString, load: Load, at: Instant) {
-        self.update.retain(|s| s.from != *from && at < s.at + STALE);
+        self.reports.retain(|s| s.from != *from && at < s.at + REPORT_TTL);
         if load != Load::default() {
-            self.update.push(PeerLoad { from: from.clone(), load, at });
+            self.reports.push(PeerLoad { from: from.clone(), load, at });
         }
     }
 
     fn sum(&self, now: Instant) -> Load {
-        let fresh = self.update.iter().filter(|s| now < s.at + STALE);
-        fresh.fold(Load::default(), |mut sum, update| {
-            sum += update.load;
+        let fresh = self.reports.iter().filter(|s| now < s.at + REPORT_TTL);
+        fresh.fold(Load::default(), |mut sum, peer| {
+            sum += peer.load;
             sum
         })
     }
 }
 
 impl Runner {
-    /// Total load of all nodes.
+    /// Returns the load by all nodes together.
     pub(super) fn load(&self, now: Instant) -> Load {
         let mut sum = self.peer_loads.sum(now);
-        sum += self.own;
+        sum += self.own_load;
         sum
     }
 
     fn report(&self) -> RunnerLoad {
-        let Load { running, memory, unread } = self.own;
+        let Load { running, memory, unread } = self.own_load;
         RunnerLoad { runner: self.registration.id.clone(), running, memory, unread }
     }
 }
 
 impl Fleet {
-    /// Signals changes of this node's load.
+    /// Returns a handle that is notified when [`Fleet::take_update`] has something to report.
     pub fn changes(&self) -> Rc<Notify> {
         self.changed.clone()
     }
 
-    /// Changes since the last call, for peers.
+    /// Takes the changes since the last call, for peers.
     pub fn take_update(&self) -> message::Load {
         let (limits, draining) = (self.take_limits(), self.take_drain_notices());
         let mut inner = self.inner.borrow_mut();
         let failed = std::mem::take(&mut inner.failures);
         let restarts = std::mem::take(&mut inner.restarts);
         let dirty = inner.runners.values_mut().filter(|r| r.dirty);
-        let tell = |runner: &mut Runner| {
+        let report = |runner: &mut Runner| {
             runner.dirty = false;
             runner.report()
         };
         message::Load {
-            runners: dirty.map(tell).collect(),
+            runners: dirty.map(report).collect(),
             failed,
             restarts,
             limits,
@@ -113,16 +113,17 @@
         }
     }
 
-    /// This node's load on every runner in use, and what runners have advertised recently.
+    /// Returns this node's load on all runners in use, and recent rate limits and drain
+    /// announcements.
     pub fn snapshot(&self) -> message::Load {
         let (limits, draining) = (self.recent_limits(), self.recent_drain_notices());
         let inner = self.inner.borrow();
-        let loaded = inner.runners.values().filter(|r| r.own != Load::default());
+        let loaded = inner.runners.values().filter(|r| r.own_load != Load::default());
         let runners = loaded.map(Runner::report).collect();
         message::Load { runners, limits, draining, ..message::Load::default() }
     }
 
-    /// Applies a peer's report.
+    /// Applies an update from a peer.
     pub fn apply_peer_load(&self, from: &CompactString, update: &message::Load) {
         let inner = &mut *self.inner.borrow_mut();
         let now = Instant::now();
@@ -134,7 +135,7 @@
         }
         for runner in &update.failed {
             if let Some(key) = inner.by_id.get(runner).copied() {
-                inner.runners[key].health.on_peer_failure(now);
+                inner.runners[key].health.record_peer_failure(now);
                 inner.suspect_neighbours(key, now);
             }
         }
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -1,9 +1,9 @@
 //! Election of the nodes that read the store for their failure domain.
 //!
-//! The nodes of a domain are ranked by a hash of their names. The first [`READERS`] read the store
-//! and forward what changes; the others read it themselves only while no reader reports that the
-//! store is available to it. Their attempts are spread over the domain, so that the rate of calls
-//! does not grow with its size, in an outage either.
+//! The nodes of a domain are ranked by a hash of their names. The first [`READERS`] nodes read the
+//! store and forward changes; the others read it only while no reader reports that the store is
+//! available to it. Their attempts are spread over the domain, so that the rate of calls does not
+//! depend on its size, even during an outage.
 
 use {
     compact_str::CompactString,
@@ -13,20 +13,21 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Readers per failure domain.
+/// Number of readers per failure domain.
 pub const READERS: usize = 2;
 /// Interval of the readers' reports.
-pub const REPORT_EVERY: Duration = Duration::from_millis(400);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Age at which a report expires.
-const LATE: Duration = Duration::from_millis(1_200);
-/// Time after the start for which the readers' first report is awaited.
-const START: Duration = Duration::from_millis(150);
-/// Deputies that take over one after the other; beyond them, attempts are random.
+const REPORT_TTL: Duration = Duration::from_millis(1_200);
+/// Time to wait for the first report of a reader after the start.
+const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Number of deputies, which replace the readers one after the other; the attempts of all other
+/// nodes are at random times.
 const DEPUTIES: usize = 4;
 /// Delay between the deputies' attempts.
-const STEP: Duration = Duration::from_millis(100);
+const DEPUTY_INTERVAL: Duration = Duration::from_millis(100);
 /// Mean time between attempts in a domain while the store is unavailable.
-const ATTEMPT_EVERY: Duration = Duration::from_millis(500);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Nodes of one failure domain by rank.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -41,27 +42,27 @@
         Ranking(names)
     }
 
-    /// Rank of a node; the last one if it is unknown.
+    /// Returns the rank of a node; the number of nodes if it is unknown.
     pub fn rank(&self, name: &str) -> usize {
         self.0.iter().position(|n| n == name).unwrap_or(self.0.len())
     }
 
-    /// Whether a node is in the domain.
+    /// Returns whether a node is in the domain.
     pub fn contains(&self, name: &str) -> bool {
         self.rank(name) < self.len()
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are no nodes.
+    /// Returns whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The nodes that should read the store.
+    /// Returns the nodes that should read the store.
     pub fn readers(&self) -> &[CompactString] {
         &self.0[..self.0.len().min(READERS)]
     }
@@ -70,11 +71,11 @@
 /// Whether this node reads the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// It relies on the readers' updates.
+    /// Relies on the updates of the readers.
     Standby,
-    /// It tries whether the store is available to it.
+    /// Tries whether the store is available to this node.
     Attempt,
-    /// It reads for the domain.
+    /// Reads the store for the failure domain.
     Reader,
 }
 
@@ -85,22 +86,28 @@
     available: bool,
 }
 
-/// This node's part in the election.
+/// State of this node in the election.
 #[derive(Debug)]
 pub struct Election {
     role: Role,
     reports: BTreeMap<CompactString, Report>,
-    /// When the election started; `None` while the other nodes are unknown.
+    /// Start of the election; `None` while the other nodes are unknown.
     start: Option<Instant>,
-    attempt: Option<Instant>,
+    attempt_at: Option<Instant>,
     rng: SmallRng,
 }
 
 impl Election {
-    /// A node that takes no part before [`Election::start`].
+    /// Creates the state of a node that does not participate before [`Election::start`].
     pub fn new(seed: u64) -> Election {
         let rng = SmallRng::seed_from_u64(seed);
-        Election { role: Role::Standby, reports: BTreeMap::new(), start: None, attempt: None, rng }
+        Election {
+            role: Role::Standby,
+            reports: BTreeMap::new(),
+            start: None,
+            attempt_at: None,
+            rng,
+        }
     }
 
     /// Starts the election.
@@ -108,36 +115,42 @@
         self.start = Some(now);
     }
 
-    /// Whether this node takes part.
+    /// Returns whether this node participates.
     pub fn is_started(&self) -> bool {
         self.start.is_some()
     }
 
-    /// Takes a reader's report.
-    pub fn report(&mut self, now: Instant, from: &CompactString, rank: usize, available: bool) {
-        self.reports.retain(|_, report| now < report.at + LATE);
+    /// Records the report of a reader.
+    pub fn record_report(
+        &mut self,
+        now: Instant,
+        from: &CompactString,
+        rank: usize,
+        available: bool,
+    ) {
+        self.reports.retain(|_, report| now < report.at + REPORT_TTL);
         self.reports.insert(from.clone(), Report { at: now, rank, available });
     }
 
-    /// Takes the outcome of an own poll.
-    pub fn polled(&mut self, now: Instant, ok: bool, ranking: &Ranking) {
+    /// Records the outcome of a poll by this node.
+    pub fn record_poll(&mut self, now: Instant, ok: bool, ranking: &Ranking) {
         match (self.role, ok) {
             (Role::Attempt, true) => self.role = Role::Reader,
             (Role::Attempt | Role::Reader, false) => {
                 self.role = Role::Standby;
-                let pause = ATTEMPT_EVERY.mul_f64(ranking.len() as f64);
-                self.attempt = Some(now + pause.mul_f64(self.rng.random_range(0.5..1.5)));
+                let pause = ATTEMPT_INTERVAL.mul_f64(ranking.len() as f64);
+                self.attempt_at = Some(now + pause.mul_f64(self.rng.random_range(0.5..1.5)));
             }
             _ => {}
         }
     }
 
-    /// Whether some other node reports that the store is available to it.
+    /// Returns whether some other node reports that the store is available to it.
     pub fn has_reader(&self, now: Instant) -> bool {
         self.reports.values().any(|report| report.is_available(now))
     }
 
-    /// Whether this node should poll the store.
+    /// Returns whether this node should poll the store.
     pub fn step(&mut self, now: Instant, me: &str, ranking: &Ranking) -> bool {
         let Some(start) = self.start else { return false };
         let rank = ranking.rank(me);
@@ -149,38 +162,40 @@
             Role::Attempt => {}
             Role::Reader if self.is_relieved(now, rank) => self.role = Role::Standby,
             Role::Reader => {}
-            Role::Standby if self.has_reader(now) => self.attempt = None,
-            Role::Standby => self.schedule(now, now.max(start + START), rank, ranking.len()),
+            Role::Standby if self.has_reader(now) => self.attempt_at = None,
+            Role::Standby => {
+                self.schedule(now, now.max(start + FIRST_REPORT_TIMEOUT), rank, ranking.len());
+            }
         }
         self.role != Role::Standby
     }
 
-    /// Whether a node of a lower rank reads the store.
+    /// Returns whether a node with a lower rank reads the store.
     fn is_relieved(&self, now: Instant, rank: usize) -> bool {
         self.reports.values().any(|report| report.rank < rank && report.is_available(now))
     }
 
-    /// Attempts to read once it is this node's turn, which is not before `first`.
+    /// Schedules this node's attempt, at `first` or later, and starts it once it is due.
     fn schedule(&mut self, now: Instant, first: Instant, rank: usize, size: usize) {
-        let at = match self.attempt {
+        let at = match self.attempt_at {
             Some(at) => at,
             None => {
                 let delay = match rank - READERS {
-                    deputy if deputy < DEPUTIES => STEP * deputy as u32,
-                    _ => ATTEMPT_EVERY.mul_f64(size as f64).mul_f64(self.rng.random()),
+                    deputy if deputy < DEPUTIES => DEPUTY_INTERVAL * deputy as u32,
+                    _ => ATTEMPT_INTERVAL.mul_f64(size as f64).mul_f64(self.rng.random()),
                 };
-                *self.attempt.insert(first + delay)
+                *self.attempt_at.insert(first + delay)
             }
         };
         if now >= at {
             self.role = Role::Attempt;
-            self.attempt = None;
+            self.attempt_at = None;
         }
     }
 }
 
 impl Report {
     fn is_available(&self, now: Instant) -> bool {
-        self.available && now < self.at + LATE
+        self.available && now < self.at + REPORT_TTL
     }
 }
--- a/examples/measure/control/state.rs
+++ b/examples/measure/control/state.rs
@@ -5,13 +5,13 @@
     crate::process::own_resident,
     bilberryfront::control::view::Published,
     bilberryfront_decide::{
-        Core, Event, Place,
+        Core, Event, Location,
         catalog::{Access, Account, Catalog, CatalogDoc, Class, Entry, Kind, Limits},
         event::PeerUse,
         id::Incarnation,
         member::{
             DrainState, Me, Members, PeerMessage,
-            message::{Claim, Heartbeat, Life, Moment, NodeState, Usage},
+            message::{Claim, Heartbeat, Moment, NodeIncarnation, NodeState, Usage},
         },
     },
     bilberryfront_wire::{
@@ -67,7 +67,7 @@
         let step = micros(20, || {
             core.step(now, Event::Instances(list.clone()), &mut Vec::new());
         });
-        let told = micros(20, || members.list(now, &list));
+        let told = micros(20, || members.apply_list(now, &list));
         let bytes = text.len();
         println!("{runners:>8} {nodes:>6} {bytes:>10} {parse:>10.0} {step:>10.0} {told:>12.0}");
     }
@@ -85,8 +85,8 @@
             black_box(serde_json::from_str::<CatalogDoc>(&text).expect("it was just written"));
         });
         let check = micros(10, || _ = black_box(doc.check()));
-        let old = Catalog::default().renew(1, &doc);
-        let renew = micros(10, || _ = black_box(old.renew(2, &doc)));
+        let old = Catalog::default().updated(1, &doc);
+        let renew = micros(10, || _ = black_box(old.updated(2, &doc)));
         let size = text.len() as f64 / 1024.0;
         println!("{accounts:>8} {size:>10.1} {read:>10.0} {check:>10.0} {renew:>10.0}");
     }
@@ -133,7 +133,7 @@
 }
 
 fn core(list: &InstanceList) -> Core {
-    let location = Place { region: "region-0".into(), domain: "east-mids-0".into() };
+    let location = Location { region: "region-0".into(), domain: "east-mids-0".into() };
     let mut core = Core::new(1, location);
     let (now, doc) = (Instant::now(), Arc::new(doc(750)));
     core.step(now, Event::Catalog { revision: 1, doc }, &mut Vec::new());
@@ -163,7 +163,7 @@
     let first = nodes.clone().next().expect("each size has nodes");
     let me = Me { name: first.name.clone(), life: life(0), location: location(first) };
     let mut members = Members::new(1, now, me);
-    members.list(now, list);
+    members.apply_list(now, list);
     members.ready();
     let from = claims[0].name.clone();
     members.receive(now, &from, &PeerMessage::MembersPush(claims), &mut Vec::new());
@@ -194,8 +194,8 @@
     }
 }
 
-fn life(n: usize) -> Life {
-    Life { epoch: 1_764_720_000_000, incarnation: Incarnation(n as u64 + 1) }
+fn life(n: usize) -> NodeIncarnation {
+    NodeIncarnation { epoch: 1_764_720_000_000, incarnation: Incarnation(n as u64 + 1) }
 }
 
 fn doc(accounts: usize) -> CatalogDoc {
--- a/src/control.rs
+++ b/src/control.rs
@@ -13,8 +13,8 @@
     },
     bilberryfront_decide::{
         Action, Core, Event,
-        action::{Grant, Reason, Refuse},
-        event::{Ask, Done},
+        action::{Grant, Reason, Rejection},
+        event::{Done, RunnerRequest},
         id::Ticket,
     },
     moves::Moves,
@@ -34,7 +34,7 @@
 };
 
 /// A result whose error is the core's rejection.
-pub type Result<T> = std::result::Result<T, Refuse>;
+pub type Result<T> = std::result::Result<T, Rejection>;
 
 /// Maximum number of messages processed before their actions are executed.
 const MAX_BATCH: usize = 64;
@@ -42,7 +42,7 @@
 /// A message to the control thread.
 pub enum Message {
     /// A request asks for a runner and waits for the answer.
-    Ask(Ask, oneshot::Sender<Result<Grant>>),
+    Ask(RunnerRequest, oneshot::Sender<Result<Grant>>),
     /// Any other event.
     Event(Event),
 }
@@ -113,17 +113,17 @@
     }
 
     /// Waits for a runner. If the returned future is dropped early, the request is withdrawn.
-    pub async fn ask(&self, ask: Ask) -> Result<Grant> {
+    pub async fn ask(&self, ask: RunnerRequest) -> Result<Grant> {
         let ticket = ask.ticket;
         let (sender, receiver) = oneshot::channel();
-        let stopped = Refuse { ticket, reason: Reason::NoRunner, retry: None };
+        let stopped = Rejection { ticket, reason: Reason::NoRunner, retry_after: None };
         if self.sender.send(Message::Ask(ask, sender)).is_err() {
             return Err(stopped);
         }
         let mut guard = WithdrawOnDrop { control: self, ticket, armed: true };
         let result = receiver.await.unwrap_or(Err(stopped));
         guard.armed = false;
-        if result.as_ref().is_err_and(|refuse| refuse.reason == Reason::NoBudget) {
+        if result.as_ref().is_err_and(|rejection| rejection.reason == Reason::NoBudget) {
             self.metrics.add(Counter::BudgetEmpty, 1);
         }
         result
@@ -141,7 +141,7 @@
 impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         if self.armed {
-            self.control.send(Event::Forget(self.ticket));
+            self.control.send(Event::Cancel(self.ticket));
         }
     }
 }
@@ -175,11 +175,11 @@
             let event = match message {
                 Message::Ask(ask, answer) => {
                     waiting.insert(ask.ticket, answer);
-                    Event::Ask(ask)
+                    Event::Request(ask)
                 }
                 Message::Event(event) => event,
             };
-            if let Event::Forget(ticket) = event {
+            if let Event::Cancel(ticket) = event {
                 waiting.remove(&ticket);
             }
             changed |= matches!(event, Event::Catalog { .. } | Event::Instances(_));
@@ -212,9 +212,9 @@
             let is_delivered = waiting.remove(&ticket).is_some_and(|a| a.send(Ok(grant)).is_ok());
             (!is_delivered).then(|| Done::cancelled(ticket))
         }
-        Action::Refuse(refuse) => {
-            if let Some(answer) = waiting.remove(&refuse.ticket) {
-                _ = answer.send(Err(refuse));
+        Action::Reject(rejection) => {
+            if let Some(answer) = waiting.remove(&rejection.ticket) {
+                _ = answer.send(Err(rejection));
             }
             None
         }
--- a/src/control/moves.rs
+++ b/src/control/moves.rs
@@ -4,7 +4,7 @@
 mod task;
 
 use {
-    bilberryfront_decide::mover::{Choice, MoveError, MoveId, PeerNews, Sample, Start, Status},
+    bilberryfront_decide::mover::{Choice, MoveError, MoveId, MoveUpdate, Sample, Start, Status},
     compact_str::CompactString,
     std::time::Duration,
     tokio::sync::{mpsc, oneshot},
@@ -20,7 +20,7 @@
     /// The first attempt of a request ended.
     AttemptEnded(Trial, AttemptResult),
     /// A message from a peer.
-    Peer(PeerNews),
+    Peer(MoveUpdate),
     /// An operator starts a move.
     Start(Start, oneshot::Sender<Result<MoveId>>),
     /// An operator rolls back the move of an entry.
@@ -89,8 +89,8 @@
     }
 
     /// Passes on a message from a peer.
-    pub fn receive(&self, message: PeerNews) {
-        self.send(Message::Peer(message));
+    pub fn receive(&self, update: MoveUpdate) {
+        self.send(Message::Peer(update));
     }
 
     /// Starts a move; returns when the table has recorded or rejected it.
--- a/src/control/moves/task.rs
+++ b/src/control/moves/task.rs
@@ -15,7 +15,7 @@
         catalog::Entry,
         id::{EntryKey, Incarnation, Revision},
         member::{Node, PeerMessage, Target, message::NodeState},
-        mover::{MoveId, Mover, Output, PeerNews, Split, Standing},
+        mover::{MoveId, MoveUpdate, Mover, Output, Split, Standing},
     },
     bilberryfront_wire::table::{Committed, Rows},
     compact_str::{CompactString, format_compact},
@@ -102,7 +102,7 @@
             Message::AttemptEnded(trial, result) => {
                 self.mover.observe(now, &trial.entry, &trial.sample(&result));
             }
-            Message::Peer(message) => self.mover.hear(now, &message),
+            Message::Peer(update) => self.mover.receive(now, &update),
             Message::Start(start, answer) => match self.mover.start(now, &start) {
                 Ok(id) => _ = self.pending_starts.insert(id, answer),
                 Err(error) => _ = answer.send(Err(error)),
@@ -146,14 +146,14 @@
         if view.catalog.revision > self.revision {
             self.revision = view.catalog.revision;
             for entry in view.catalog.entries.values() {
-                self.mover.entry(now, &entry.name, &entry.version);
+                self.mover.set_version(now, &entry.name, &entry.version);
             }
         }
         if self.counted_at.is_some_and(|at| now < at + COUNT_INTERVAL) {
             return;
         }
         self.counted_at = Some(now);
-        self.mover.peers(&peers(view));
+        self.mover.set_peers(&peers(view));
         for entry in view.catalog.entries.values() {
             let Some(status) = self.mover.status(now, &entry.name) else { continue };
             let count = |version: &str| {
@@ -161,7 +161,7 @@
                 runners.filter(|r| r.entry == entry.name && r.version == version).count() as u32
             };
             let (old, new) = (count(&status.moved.from), count(&status.moved.to));
-            self.mover.fleet(&entry.name, old, new);
+            self.mover.set_runner_counts(&entry.name, old, new);
             self.log_standing(&entry.name, status.standing);
         }
     }
@@ -188,7 +188,7 @@
                         .send(TableResult::Committed(number, table.commit(&commit).await.ok()));
                 });
             }
-            Output::Tell(message) => self.send_to_peers(view, message),
+            Output::Broadcast(update) => self.send_to_peers(view, update),
             Output::Adopt { entry, version } if !mem::replace(&mut self.is_adopting, true) => {
                 tokio::spawn(async move {
                     let store = Store::new(table);
@@ -204,14 +204,14 @@
         }
     }
 
-    fn send_to_peers(&self, view: &View, message: PeerNews) {
+    fn send_to_peers(&self, view: &View, update: MoveUpdate) {
         let nodes = view.nodes.iter().filter(|n| n.state != NodeState::Forgotten);
         let target = |n: &Node| {
             let address = n.location.as_ref()?.peer.clone();
             Some(Target { name: n.name.clone(), address })
         };
         let targets: Vec<Target> = nodes.filter_map(target).collect();
-        if let Err(error) = self.net.send(&targets, &PeerMessage::Move(message)) {
+        if let Err(error) = self.net.send(&targets, &PeerMessage::Move(update)) {
             log::warn!("cannot send the state of a version move to peers: {error}");
         }
     }
--- a/src/control/pollers.rs
+++ b/src/control/pollers.rs
@@ -103,7 +103,7 @@
 async fn poll_load(control: &Control, runner: RunnerKey, client: &LoadClient) {
     let event = match client.service.get::<LoadReport>("/load").await {
         Ok(report) => Event::Load { runner, report },
-        Err(_) => Event::Silent { runner },
+        Err(_) => Event::LoadMissing { runner },
     };
     control.send(event);
 }
--- a/src/control/view.rs
+++ b/src/control/view.rs
@@ -81,7 +81,7 @@
 
     /// Publishes the core's catalogue and runners.
     pub fn set_core(&self, core: &Core) {
-        let runners = core.watched().map(|(k, i)| (k, i.clone())).collect();
+        let runners = core.polled().map(|(k, i)| (k, i.clone())).collect();
         let catalog = core.catalog().clone();
         self.update(|view| View { catalog, runners, ..view });
     }
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -26,12 +26,13 @@
     bilberryfront_decide::{
         id::Incarnation,
         intent::{
-            Action, Event, Fault, Found, Holder, Intent, Life, Outcome, Owner, Verdict, peek,
+            Action, Event, Fault, Holder, Intent, IntentRow, Outcome, Owner, RequestLifecycle,
+            Verdict, peek,
         },
     },
     bilberryfront_wire::table::{Read, Row, Write, Written},
     compact_str::CompactString,
-    permit::{DroppedPermit, HeldClaim, SharedShelf, step},
+    permit::{DroppedPermit, HeldClaim, SharedClaims, step},
     recent::Recent,
     std::{
         sync::{
@@ -92,7 +93,7 @@
     batch: Batch,
     claims: AtomicU64,
     unrecorded: AtomicU64,
-    shelf: SharedShelf,
+    abandoned: SharedClaims,
     recent: Mutex<Recent>,
     dropped: mpsc::Sender<DroppedPermit>,
     /// Limits the number of outcomes that wait to be recorded.
@@ -111,7 +112,7 @@
             limits,
             claims: AtomicU64::new(0),
             unrecorded: AtomicU64::new(0),
-            shelf: SharedShelf::default(),
+            abandoned: SharedClaims::default(),
             recent: Mutex::default(),
             dropped,
             pending_records: Semaphore::new(MAX_PENDING_RECORDS),
@@ -205,8 +206,9 @@
     async fn start_claim(&self, call: &Call, first: Event) -> Claim {
         let claim = self.claims.fetch_add(1, Ordering::Relaxed);
         let owner = Owner { incarnation: self.incarnation, claim };
-        let life = Life::new(owner, call.digest.clone(), Instant::now(), unix_now());
-        self.run_claim(HeldClaim { row: call.row(), life }, first).await
+        let lifecycle =
+            RequestLifecycle::new(owner, call.digest.clone(), Instant::now(), unix_now());
+        self.run_claim(HeldClaim { row: call.row(), lifecycle }, first).await
     }
 
     async fn peek(&self, call: &Call) -> Claim {
@@ -225,7 +227,7 @@
 
     async fn run_claim(&self, mut held: HeldClaim, first: Event) -> Claim {
         let mut last_error = None;
-        let mut action = step(&mut held.life, first, &self.shelf);
+        let mut action = step(&mut held.lifecycle, first, &self.abandoned);
         for _ in 0..MAX_STEPS {
             let outcome = match action {
                 Action::Write(found) => self.write(&held.row, &found).await.map(Event::Written),
@@ -233,7 +235,7 @@
                 last => return self.finish_claim(last, held, last_error),
             };
             let event = outcome.unwrap_or_else(|error| failed(error, &mut last_error));
-            action = step(&mut held.life, event, &self.shelf);
+            action = step(&mut held.lifecycle, event, &self.abandoned);
         }
         self.finish_claim(action, held, last_error)
     }
@@ -241,11 +243,11 @@
     fn finish_claim(&self, last: Action, held: HeldClaim, error: Option<PlatformError>) -> Claim {
         match last {
             Action::Permit => {
-                let row = held.life.row().expect("a permit comes with a row");
+                let row = held.lifecycle.row().expect("a permit comes with a row");
                 self.recent().insert(&held.row, row.intent.holder());
-                Claim::Granted(Permit::new(held, self.shelf.clone(), self.dropped.clone()))
+                Claim::Granted(Permit::new(held, self.abandoned.clone(), self.dropped.clone()))
             }
-            Action::Say(verdict) => self.to_claim(verdict, &held.row, error),
+            Action::Respond(verdict) => self.to_claim(verdict, &held.row, error),
             _ => Claim::Unknown,
         }
     }
@@ -279,15 +281,15 @@
         let mut pause = RETRY_PAUSES.0;
         let mut pending = None;
         if outcome == Outcome::NotRun {
-            self.recent().remove(&held.row, held.life.owner());
+            self.recent().remove(&held.row, held.lifecycle.owner());
         }
         let end = Event::End(outcome, Instant::now());
-        let mut action = step(&mut held.life, end, &self.shelf);
+        let mut action = step(&mut held.lifecycle, end, &self.abandoned);
         while let Action::Write(found) = action {
             let outcome = self.write(&held.row, &found).await.map(Event::Written);
             let event = outcome.unwrap_or_else(|error| failed(error, &mut None));
-            action = step(&mut held.life, event, &self.shelf);
-            if action == Action::Rest {
+            action = step(&mut held.lifecycle, event, &self.abandoned);
+            if action == Action::Finish {
                 return true;
             }
             pending = pending.or_else(|| self.pending_records.try_acquire().ok());
@@ -297,18 +299,18 @@
             sleep(jitter(pause)).await;
             pause = (pause * 2).min(RETRY_PAUSES.1);
         }
-        step(&mut held.life, Event::GiveUp, &self.shelf);
+        step(&mut held.lifecycle, Event::GiveUp, &self.abandoned);
         self.unrecorded.fetch_add(1, Ordering::Relaxed);
         false
     }
 
-    async fn write(&self, row: &CompactString, found: &Found) -> Result<Written> {
+    async fn write(&self, row: &CompactString, found: &IntentRow) -> Result<Written> {
         let value = serde_json::to_string(&found.intent).expect("plain data serializes");
         let expect = Some(found.revision);
         self.batch.write(Write { key: row.clone(), expect, value: Some(value) }).await
     }
 
-    async fn read(&self, row: &CompactString) -> Result<Option<Found>> {
+    async fn read(&self, row: &CompactString) -> Result<Option<IntentRow>> {
         let read = Read { keys: vec![row.clone()] };
         let rows = match timeout(self.limits.reply_timeout, self.table.read(&read)).await {
             Ok(rows) => rows?.rows,
@@ -320,10 +322,10 @@
 
 /// Decodes a row. A row that can't be decoded counts as a lost reply, so that no request may send
 /// the call.
-fn decode(row: &Row) -> Result<Found> {
+fn decode(row: &Row) -> Result<IntentRow> {
     let intent: Intent =
         serde_json::from_str(&row.value).map_err(|e| PlatformError::Lost(e.to_string()))?;
-    Ok(Found { revision: row.revision, intent })
+    Ok(IntentRow { revision: row.revision, intent })
 }
 
 /// Returns the event for an error, and keeps the error in `last_error`.
--- a/src/node/control_thread.rs
+++ b/src/node/control_thread.rs
@@ -12,13 +12,12 @@
         settings::Settings,
     },
     bilberryfront_decide::{
-        Core,
+        Core, location,
         member::{
             Drain, Members,
-            message::{Life, NodeLocation},
+            message::{NodeIncarnation, NodeLocation},
         },
         mover::Mover,
-        place,
     },
     compact_str::format_compact,
     std::{
@@ -102,7 +101,7 @@
     let membership = membership(&shared, net, address);
     tokio::spawn(membership.run(received, lists));
     let location =
-        place::Place { region: settings.region.clone(), domain: settings.domain.clone() };
+        location::Location { region: settings.region.clone(), domain: settings.domain.clone() };
     let core = Core::new(rand::random(), location);
     control::drive(core, receivers.events, published.clone()).await;
 }
@@ -122,7 +121,7 @@
         url: shared.url.clone(),
         peer: format_compact!("{address}"),
     };
-    let life = Life { epoch: unix_millis(), incarnation: shared.incarnation };
+    let life = NodeIncarnation { epoch: unix_millis(), incarnation: shared.incarnation };
     let me = bilberryfront_decide::member::Me { name: settings.name.clone(), life, location };
     Membership {
         members: Members::new(rand::random(), Instant::now(), me),
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -68,7 +68,7 @@
     pub fn mark_started(&mut self) {
         if self.first.is_none() {
             self.first = Some(self.granted_at.elapsed());
-            self.control.send(Event::Begun(self.grant.ticket));
+            self.control.send(Event::Started(self.grant.ticket));
         }
     }
 }
@@ -99,7 +99,7 @@
             verdict: self.verdict,
             first: self.first,
             tokens: self.tokens,
-            again: self.will_retry,
+            will_retry: self.will_retry,
         });
     }
 }
--- a/src/traffic/problem.rs
+++ b/src/traffic/problem.rs
@@ -1,7 +1,7 @@
 //! Error responses: problem documents.
 
 use {
-    bilberryfront_decide::action::{Reason, Refuse},
+    bilberryfront_decide::action::{Reason, Rejection},
     bilberryfront_wire::problem::{PROBLEM_JSON, Problem, Run},
     compact_str::format_compact,
     http::{StatusCode, header},
@@ -154,8 +154,8 @@
 }
 
 /// Returns the problem for a rejection by the core.
-pub fn refusal(refuse: &Refuse) -> Problem {
-    let (kind, detail) = match refuse.reason {
+pub fn from_rejection(rejection: &Rejection) -> Problem {
+    let (kind, detail) = match rejection.reason {
         Reason::NoEntry => (Kind::UnknownEntry, "the entry was removed from the catalogue"),
         Reason::NoAccess => (Kind::Forbidden, "request access from the entry's owner"),
         Reason::AccountLimit => {
@@ -164,12 +164,14 @@
         Reason::EntryLimit => {
             (Kind::Overloaded, "the entry's concurrency limit is reached and its queue is full")
         }
-        Reason::Late => (Kind::Overloaded, "the expected wait is longer than the entry allows"),
+        Reason::WaitTooLong => {
+            (Kind::Overloaded, "the expected wait is longer than the entry allows")
+        }
         Reason::NoRunner => (Kind::NoRunner, "no runner of the entry's version is available"),
         Reason::NoBudget => (Kind::NoRunner, "the retry budget is exhausted"),
     };
     let problem = not_run(kind, detail);
-    match refuse.retry {
+    match rejection.retry_after {
         Some(after) => with_retry_after(problem, after),
         None => problem,
     }
--- a/src/traffic/services/once.rs
+++ b/src/traffic/services/once.rs
@@ -112,8 +112,8 @@
         let ask = job.ask(control.next_ticket(), Purpose::First, avoid, pin);
         match control.ask(ask).await {
             Ok(grant) => return Ok(Lease::new(control.clone(), grant, chooser.trial())),
-            Err(refuse) if refuse.reason == Reason::NoRunner && chooser.fall_back() => {}
-            Err(refuse) => return Err(problem::refusal(&refuse)),
+            Err(rejection) if rejection.reason == Reason::NoRunner && chooser.fall_back() => {}
+            Err(rejection) => return Err(problem::from_rejection(&rejection)),
         }
     }
 }
--- a/src/traffic/services/repeat.rs
+++ b/src/traffic/services/repeat.rs
@@ -39,12 +39,12 @@
         let pin = chooser.version().cloned();
         let grant = match services.control.ask(job.ask(ticket, purpose, avoid, pin)).await {
             Ok(grant) => grant,
-            Err(refuse) if refuse.reason == Reason::NoRunner && chooser.fall_back() => {
+            Err(rejection) if rejection.reason == Reason::NoRunner && chooser.fall_back() => {
                 (ticket, purpose) = (services.control.next_ticket(), Purpose::First);
                 continue;
             }
-            Err(refuse) if attempt == 1 => return Err(problem::refusal(&refuse)),
-            Err(refuse) => return Err(unknown(problem::refusal(&refuse))),
+            Err(rejection) if attempt == 1 => return Err(problem::from_rejection(&rejection)),
+            Err(rejection) => return Err(unknown(problem::from_rejection(&rejection))),
         };
         let mut lease = Lease::new(services.control.clone(), grant, chooser.trial());
         let now = Instant::now();
@@ -63,7 +63,7 @@
         };
         lease.will_retry = attempt < MAX_ATTEMPTS;
         avoid = Some(lease.grant.runner);
-        purpose = Purpose::Again;
+        purpose = Purpose::Retry;
     }
     let problem =
         not_run(Kind::NoRunner, format!("{MAX_ATTEMPTS} runners did not respond successfully"));
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -18,9 +18,9 @@
         metrics::{Counter, Timing},
     },
     bilberryfront_decide::{
-        action::{Grant, Reason, Refuse},
-        event::{Ask, Purpose, Verdict},
-        generation::{Generation, Phase, Take},
+        action::{Grant, Reason, Rejection},
+        event::{Purpose, RunnerRequest, Verdict},
+        generation::{Generation, Phase, TokenAction},
         id::{RunnerKey, Ticket},
     },
     bilberryfront_wire::{
@@ -124,7 +124,7 @@
     }
 
     async fn start_attempt(&mut self) -> Option<Piece> {
-        let ask = Ask {
+        let ask = RunnerRequest {
             ticket: self.ticket,
             entry: self.job.entry,
             account: self.job.account,
@@ -135,12 +135,12 @@
         };
         let grant = match self.control.ask(ask).await {
             Ok(grant) => grant,
-            Err(refuse) => return self.on_rejection(&refuse),
+            Err(rejection) => return self.on_rejection(&rejection),
         };
-        if self.purpose == Purpose::Again {
+        if self.purpose == Purpose::Retry {
             self.control.metrics().add(Counter::Resumes, 1);
         }
-        self.purpose = Purpose::Again;
+        self.purpose = Purpose::Retry;
         let lease = Lease::new(self.control.clone(), grant, self.chooser.trial());
         let generate = self.runner_request(&lease.grant);
         let wait = millis(self.job.limits.first_ms);
@@ -156,7 +156,7 @@
     }
 
     fn runner_request(&mut self, grant: &Grant) -> Generate {
-        let attempt = self.generation.granted(&grant.version);
+        let attempt = self.generation.start_attempt(&grant.version);
         Generate {
             request: self.job.runner_request.clone(),
             attempt,
@@ -177,10 +177,10 @@
         loop {
             match event {
                 Ok(RunnerEvent::Token(attempt, token)) => {
-                    match self.generation.token(attempt, &token) {
-                        Take::Deliver => batch.push(self.deliver(&mut open, token)),
-                        Take::Drop => self.control.metrics().add(Counter::DroppedTokens, 1),
-                        Take::Garbled => return self.abort(open, batch, Verdict::Garbled),
+                    match self.generation.accept(attempt, &token) {
+                        TokenAction::Deliver => batch.push(self.deliver(&mut open, token)),
+                        TokenAction::Drop => self.control.metrics().add(Counter::DroppedTokens, 1),
+                        TokenAction::Garbled => return self.abort(open, batch, Verdict::Garbled),
                     }
                 }
                 Ok(RunnerEvent::Finish(finish)) => {
@@ -259,7 +259,7 @@
             Failure::Refused(status) => {
                 lease.verdict = Verdict::Rejected;
                 lease.will_retry = false;
-                self.generation.lost();
+                self.generation.runner_lost();
                 let detail = format!("the runner rejected the request with status {status}");
                 return Some(Piece::Failed(unknown(not_run(Kind::RunnerRefused, detail))));
             }
@@ -267,10 +267,10 @@
         lease.verdict = verdict;
         lease.will_retry = false;
         self.avoid = Some(lease.grant.runner);
-        if let Some(reason) = self.generation.lost() {
+        if let Some(reason) = self.generation.runner_lost() {
             return Some(Piece::Finish(reason));
         }
-        if self.chooser.fall_back() && self.generation.restart() {
+        if self.chooser.fall_back() && self.generation.try_restart() {
             self.start_over();
             return None;
         }
@@ -287,17 +287,17 @@
     /// Handles a rejection by the core: starts over if no token was delivered and another version may
     /// serve the request, otherwise ends the generation. A request rejected by the retry budget is not
     /// started over: that would bypass the budget, and the retries would overload the remaining runners.
-    fn on_rejection(&mut self, refuse: &Refuse) -> Option<Piece> {
-        let has_no_runner = refuse.reason == Reason::NoRunner;
-        let can_restart = self.generation.restart() || self.generation.pin().is_none();
+    fn on_rejection(&mut self, rejection: &Rejection) -> Option<Piece> {
+        let has_no_runner = rejection.reason == Reason::NoRunner;
+        let can_restart = self.generation.try_restart() || self.generation.pin().is_none();
         if has_no_runner
             && can_restart
-            && (self.purpose == Purpose::Again || self.chooser.fall_back())
+            && (self.purpose == Purpose::Retry || self.chooser.fall_back())
         {
             self.start_over();
             return None;
         }
-        Some(self.give_up(problem::refusal(refuse)))
+        Some(self.give_up(problem::from_rejection(rejection)))
     }
 
     fn start_over(&mut self) {
