--- a/crates/scenarios/src/caller.rs
+++ b/crates/scenarios/src/caller.rs
@@ -8,7 +8,7 @@
         wire::Wire,
     },
     bilberryfront::traffic::{
-        Entered, access, auth,
+        InFlight, access, auth,
         problem::{Kind as ProblemKind, not_run},
         send::Reply,
         services::{self, Services, job},
@@ -138,10 +138,10 @@
         leg
     };
     let (control, wire, caller) = (node.control.clone(), node.wire.clone(), caller.clone());
-    let open = node.leaving.open.clone();
+    let open = node.leaving.in_flight.clone();
     node.spawn(async move {
         let catalog = control.view().catalog.clone();
-        let prepared = Entered::new(&control, &open)
+        let prepared = InFlight::new(&control, &open)
             .and_then(|e| Ok((e, prepare(&catalog, &caller.lock().unwrap(), leg)?)));
         match prepared {
             Ok((_entered, (job, generation))) => {
@@ -177,7 +177,7 @@
     let prompt = request.prompt.to_string();
     let job = Job {
         request: caller.name.clone(),
-        leg,
+        runner_request: leg,
         entry: key,
         account,
         limits: entry.limits,
@@ -188,7 +188,7 @@
         prompt,
         max,
         priority: 8,
-        held,
+        resumed_text: held,
     };
     Ok((job, generation))
 }
@@ -216,7 +216,7 @@
 /// Calls a plain service through a node.
 pub(crate) fn call(node: &mut Node, caller: &Shared) -> AbortHandle {
     let (services, caller) = (node.services.clone(), caller.clone());
-    let open = node.leaving.open.clone();
+    let open = node.leaving.in_flight.clone();
     node.spawn(async move {
         let Asked::Call(call) = caller.lock().unwrap().asked.clone() else { panic!("no call") };
         let answer = route(services, &open, &call).await;
@@ -236,7 +236,7 @@
     open: &Arc<AtomicUsize>,
     call: &Call,
 ) -> Result<Reply, Problem> {
-    let entered = Entered::new(&services.control, open)?;
+    let entered = InFlight::new(&services.control, open)?;
     let catalog = services.control.view().catalog.clone();
     let job = read(&catalog, call).await?;
     match call.key.clone() {
--- a/tests/catalogue_apply.rs
+++ b/tests/catalogue_apply.rs
@@ -10,10 +10,10 @@
 
 use {
     bilberryfront::{
-        catalogue::store::{Numbered, Store},
+        catalogue::store::{CatalogueRevision, Store},
         key::digest,
         operator::{
-            Control, Face,
+            Control, OperatorApi,
             key::Keys,
             message::{NodeRow, Nodes},
             router,
@@ -37,7 +37,7 @@
 /// A node that only remembers what it was told.
 #[derive(Clone, Default)]
 struct FakeNode {
-    accepted: Arc<Mutex<Vec<Numbered>>>,
+    accepted: Arc<Mutex<Vec<CatalogueRevision>>>,
 }
 
 impl Control for FakeNode {
@@ -52,7 +52,7 @@
         Nodes { revision: 3, nodes: vec![node] }
     }
 
-    fn accepted(&self, numbered: Numbered) {
+    fn accepted(&self, numbered: CatalogueRevision) {
         self.accepted.lock().unwrap().push(numbered);
     }
 }
@@ -76,7 +76,7 @@
         let runtime = Runtime::new().unwrap();
         let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).unwrap();
         let url = format!("http://{}", listener.local_addr().unwrap());
-        let face = Face {
+        let face = OperatorApi {
             store: Store::new(table.clone()),
             keys: Keys::new(vec![digest("another"), digest(KEY)]),
             control: node.clone(),
