--- a/crates/harness/src/caller.rs
+++ b/crates/harness/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller: asks for addresses, streams a completion, and resumes it elsewhere after a cut.
+//! Client of the callers' interface. It fetches node addresses, streams completions and resumes an
+//! interrupted stream on another node.
 
 use {
     crate::http::{Answer, call, client},
@@ -19,67 +20,68 @@
     },
 };
 
-/// Most resumes of one answer.
-const RESUMES: u32 = 20;
-/// Wait before a resume when the node doesn't say.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Maximum resumes of one completion.
+const MAX_RESUMES: u32 = 20;
+/// Delay before a resume if the node sent no `retry_after`.
+const RESUME_DELAY: Duration = Duration::from_millis(100);
 
-/// A caller with a key.
+/// A caller with an API key.
 #[derive(Clone)]
 pub struct Caller {
     client: Client,
     bearer: String,
 }
 
-/// A streamed answer as received.
+/// The received part of a streamed completion.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Received {
-    /// All text in order.
+    /// Text of all events.
     pub text: String,
-    /// Events with text.
+    /// Number of events with text.
     pub events: u32,
     /// Id of the last event.
     pub last: String,
-    /// Why it ended; `None` if it was cut.
+    /// Why it ended; `None` if it is incomplete.
     pub finish: Option<FinishReason>,
-    /// Tokens that the node counted.
+    /// Token count reported by the node.
     pub tokens: u32,
-    /// Longest time between two events with text.
+    /// Longest time between two consecutive events with text; after a resume, from its request to its
+    /// first event.
     pub gap: Duration,
-    /// Time to the first event with text.
+    /// Time from the request to the first event with text.
     pub first: Duration,
-    /// The problem that ended it, if any.
+    /// Problem that ended the last attempt, if any.
     pub problem: Option<Problem>,
-    /// How often it was resumed.
+    /// Number of resumes.
     pub resumes: u32,
 }
 
 impl Received {
-    /// Whether the whole answer came.
+    /// Returns whether the completion was received to its end.
     pub fn is_whole(&self) -> bool {
         self.finish.is_some()
     }
 }
 
 impl Caller {
-    /// A caller with this key.
+    /// Creates a caller with an API key.
     pub fn new(key: &str) -> Caller {
         Caller { client: client(), bearer: format!("Bearer {key}") }
     }
 
-    /// Which nodes to use.
+    /// Fetches the addresses of the nodes to use.
     pub async fn addresses(&self, node: &str) -> io::Result<Addresses> {
         let url = format!("{node}/v1/addresses");
         let headers = [("authorization", self.bearer.as_str())];
         call(&self.client, Method::GET, &url, &headers, Vec::new()).await?.json()
     }
 
-    /// Posts a completion and reads the answer whole.
+    /// Sends a completion request and reads the whole response.
     pub async fn complete(&self, node: &str, request: &CompletionRequest) -> io::Result<Answer> {
         let url = format!("{node}/v1/completions");
         let headers =
             [("authorization", self.bearer.as_str()), ("content-type", "application/json")];
-        call(&self.client, Method::POST, &url, &headers, body(request)).await
+        call(&self.client, Method::POST, &url, &headers, to_json(request)).await
     }
 
     /// Calls a plain service.
@@ -98,51 +100,55 @@
         call(&self.client, method, &url, &headers, body).await
     }
 
-    /// Streams a completion, and resumes it at the next node in turn until it is whole or refused.
+    /// Streams a completion. Resumes it on the next node in turn until it is complete, or fails with a
+    /// problem that states no `retry_after`.
     pub async fn stream(
         &self,
         nodes: &[String],
         request: &CompletionRequest,
         on_text: impl FnMut(&Received),
     ) -> io::Result<Received> {
-        let mut got = Received::default();
+        let mut received = Received::default();
         let mut on_text = on_text;
-        for round in 0..=RESUMES {
-            let node = &nodes[round as usize % nodes.len()];
-            got.resumes = round;
-            got.problem = None;
-            // A cut connection is what resumes are for.
-            _ = self.stream_once(node, request, &mut got, &mut on_text).await;
-            let hopeless = got.problem.as_ref().is_some_and(|p| p.retry_after.is_none());
-            if got.is_whole() || hopeless {
+        for attempt in 0..=MAX_RESUMES {
+            let node = &nodes[attempt as usize % nodes.len()];
+            received.resumes = attempt;
+            received.problem = None;
+            // After a connection error, the loop resumes the stream.
+            _ = self.stream_once(node, request, &mut received, &mut on_text).await;
+            let is_final = received.problem.as_ref().is_some_and(|p| p.retry_after.is_none());
+            if received.is_whole() || is_final {
                 break;
             }
-            let wait = got.problem.as_ref().and_then(|p| p.retry_after);
-            sleep(wait.map_or(PAUSE, |s| Duration::from_secs(s.into()))).await;
+            let retry_after = received.problem.as_ref().and_then(|p| p.retry_after);
+            sleep(retry_after.map_or(RESUME_DELAY, |s| Duration::from_secs(s.into()))).await;
         }
-        Ok(got)
+        Ok(received)
     }
 
-    /// Streams a completion from one node, going on after what `got` holds.
+    /// Streams a completion from one node, resuming after the part in `received`.
     pub async fn stream_once(
         &self,
         node: &str,
         request: &CompletionRequest,
-        got: &mut Received,
+        received: &mut Received,
         on_text: &mut impl FnMut(&Received),
     ) -> io::Result<()> {
         let mut request = CompletionRequest { stream: true, ..request.clone() };
         let mut post = self.client.post(format!("{node}/v1/completions"));
         post = post.header("authorization", self.bearer.as_str());
-        if !got.last.is_empty() {
-            request.resume = Some(got.text.clone());
-            post = post.header("last-event-id", got.last.as_str());
+        if !received.last.is_empty() {
+            request.resume = Some(received.text.clone());
+            post = post.header("last-event-id", received.last.as_str());
         }
         let mut last = Instant::now();
-        let response =
-            post.body(Body::from(body(&request))).send::<Body>().await.map_err(io::Error::other)?;
+        let response = post
+            .body(Body::from(to_json(&request)))
+            .send::<Body>()
+            .await
+            .map_err(io::Error::other)?;
         if !response.status().is_success() {
-            got.problem = Some(problem(response).await?);
+            received.problem = Some(parse_problem(response).await?);
             return Ok(());
         }
         let mut reader = SseReader::into_sse(response).map_err(io::Error::other)?;
@@ -150,43 +156,47 @@
             if event.data() == Some(DONE) {
                 return Ok(());
             }
-            take(&event, got, &mut last)?;
-            on_text(got);
+            apply_event(&event, received, &mut last)?;
+            on_text(received);
         }
         Ok(())
     }
 }
 
-fn take(event: &SseEvent, got: &mut Received, last: &mut Instant) -> io::Result<()> {
+/// Adds an event to the received part; `last` is the time of the previous event.
+fn apply_event(event: &SseEvent, received: &mut Received, last: &mut Instant) -> io::Result<()> {
     let data = event.data().unwrap_or_default();
     if event.event() == "error" {
-        got.problem = Some(serde_json::from_str(data).map_err(io::Error::other)?);
+        received.problem = Some(serde_json::from_str(data).map_err(io::Error::other)?);
         return Ok(());
     }
     let part: Completion = serde_json::from_str(data).map_err(io::Error::other)?;
-    let choice = part.choices.first().ok_or_else(|| io::Error::other("no choice in an event"))?;
+    let choice = part
+        .choices
+        .first()
+        .ok_or_else(|| io::Error::other("received an event without a choice"))?;
     let since = last.elapsed();
     *last = Instant::now();
     match choice.finish_reason {
         Some(reason) => {
-            got.finish = Some(reason);
-            got.tokens = part.usage.map_or(0, |u| u.completion_tokens);
+            received.finish = Some(reason);
+            received.tokens = part.usage.map_or(0, |u| u.completion_tokens);
         }
-        None if got.events == 0 => got.first = since,
-        None => got.gap = got.gap.max(since),
+        None if received.events == 0 => received.first = since,
+        None => received.gap = received.gap.max(since),
     }
-    got.text.push_str(&choice.text);
-    got.events += u32::from(choice.finish_reason.is_none());
-    got.last = event.id().unwrap_or_default().to_owned();
+    received.text.push_str(&choice.text);
+    received.events += u32::from(choice.finish_reason.is_none());
+    received.last = event.id().unwrap_or_default().to_owned();
     Ok(())
 }
 
-async fn problem(response: volo_http::response::Response) -> io::Result<Problem> {
+async fn parse_problem(response: volo_http::response::Response) -> io::Result<Problem> {
     use volo_http::body::BodyConversion;
     let body = response.into_body().into_vec().await.map_err(io::Error::other)?;
     serde_json::from_slice(&body).map_err(io::Error::other)
 }
 
-fn body(request: &CompletionRequest) -> Vec<u8> {
+fn to_json(request: &CompletionRequest) -> Vec<u8> {
     serde_json::to_vec(request).expect("wire types always serialize")
 }
--- a/crates/harness/src/certificates.rs
+++ b/crates/harness/src/certificates.rs
@@ -1,4 +1,4 @@
-//! An authority of one's own, for the nodes' mutual TLS.
+//! Certificate authority for the nodes' mutual TLS.
 
 use {
     rcgen::{
@@ -8,25 +8,26 @@
     std::{fs, io, path::Path},
 };
 
-/// Signs certificates for nodes.
+/// Certificate authority that signs the certificates of nodes.
 pub struct Authority {
     issuer: CertifiedIssuer<'static, KeyPair>,
 }
 
 impl Authority {
-    /// A new authority.
+    /// Creates an authority with a new key.
     pub fn new() -> Authority {
         let mut params = CertificateParams::default();
         params.distinguished_name.push(DnType::CommonName, "bilberryfront test authority");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::DigitalSignature];
-        let key = KeyPair::generate().expect("the system gives randomness");
+        let key = KeyPair::generate().expect("the system provides randomness");
         let issuer =
             CertifiedIssuer::self_signed(params, key).expect("the parameters are constant");
         Authority { issuer }
     }
 
-    /// Writes `NAME.pem`, `NAME.key` and `authority.pem` into `folder`.
+    /// Signs a new certificate for node `name` and writes `NAME.pem`, `NAME.key` and `authority.pem`
+    /// into `folder`.
     pub fn write(&self, folder: &Path, name: &str) -> io::Result<()> {
         let mut params = CertificateParams::new(vec![name.to_owned()]).map_err(io::Error::other)?;
         params.extended_key_usages =
--- a/crates/harness/src/fleet.rs
+++ b/crates/harness/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A small deployment on loopback: platform, runners, services and nodes, each its own process.
+//! A deployment on loopback: platform, runners, services and nodes, each in its own process.
 
 use {
     crate::{
@@ -20,23 +20,23 @@
     volo_http::client::Client,
 };
 
-/// Key of the client account in [`Fleet::catalog`].
+/// Key of the client account in [`catalog`].
 pub const CALLER_KEY: &str = "caller-key";
-/// Key of the operator in every node's settings.
+/// Operator key in the settings of all nodes.
 pub const OPERATOR_KEY: &str = "operator-key";
-/// Seconds for which callers may keep an address answer.
+/// Seconds for which callers may cache the node addresses.
 pub const TTL: u32 = 1;
-/// Time between two looks at whether a node is ready.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// Looks before a node is given up.
-const LOOKS: u32 = 500;
+/// Interval between two polls of a node's readiness.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum polls of a node's readiness.
+const MAX_POLLS: u32 = 500;
 
-/// How the programs are started.
+/// Commands that start the programs.
 #[derive(Clone, Copy)]
 pub struct Programs {
-    /// The stand-in, to which `KIND --listen ...` is added.
+    /// Starts a stand-in; `KIND` and options are added.
     pub standin: fn() -> Command,
-    /// The product, to which `serve --settings FILE` is added.
+    /// Starts the product; `serve --settings FILE` is added.
     pub product: fn() -> Command,
 }
 
@@ -44,23 +44,23 @@
 pub struct Server {
     /// The process.
     pub process: Process,
-    /// Name in the instance list; empty for the platform's services.
+    /// Name in the instance list; empty for a service of the platform.
     pub name: CompactString,
     /// Base URL.
     pub url: String,
 }
 
-/// A node with its three faces.
+/// A node with the addresses of its three interfaces.
 pub struct Node {
-    /// The process and the callers' URL.
+    /// Process and base URL of the callers' interface.
     pub server: Server,
-    /// Operators' base URL.
+    /// Base URL of the operators' interface.
     pub operators: String,
-    /// Peers' `IP:PORT`.
+    /// `IP:PORT` of the peer transport.
     pub peers: CompactString,
 }
 
-/// All processes of a deployment. Everything ends with it.
+/// All processes of a deployment, killed when dropped.
 pub struct Fleet {
     /// The platform's table service.
     pub table: Server,
@@ -70,7 +70,7 @@
     pub runners: Vec<Server>,
     /// Nodes.
     pub nodes: Vec<Node>,
-    /// StatsD collector of nodes started from now on.
+    /// StatsD collector in the settings of nodes that are started later.
     pub statsd: Option<SocketAddr>,
     programs: Programs,
     folder: TempDir,
@@ -79,11 +79,11 @@
 }
 
 impl Fleet {
-    /// Starts the platform's stand-ins.
+    /// Starts the stand-ins of the platform.
     pub fn new(programs: Programs) -> io::Result<Fleet> {
         Ok(Fleet {
-            table: server((programs.standin)().arg("table"), "")?,
-            list: server((programs.standin)().arg("list"), "")?,
+            table: start_server((programs.standin)().arg("table"), "")?,
+            list: start_server((programs.standin)().arg("list"), "")?,
             runners: Vec::new(),
             nodes: Vec::new(),
             statsd: None,
@@ -94,28 +94,29 @@
         })
     }
 
-    /// Starts a stand-in that registers itself at the instance list; `kind` is `runner` or
-    /// `service`, `args` are added to its command line.
+    /// Starts a stand-in that registers itself in the instance list; `kind` is `runner` or `service`,
+    /// and `args` are added to its command line.
     pub fn start(&mut self, kind: &str, name: &str, args: &[&str]) -> io::Result<()> {
         let mut command = (self.programs.standin)();
         command.args([kind, "--name", name, "--list", &self.list.url]).args(args);
-        self.runners.push(server(&mut command, name)?);
+        self.runners.push(start_server(&mut command, name)?);
         Ok(())
     }
 
-    /// Starts a node and puts it into the instance list, as the platform does.
+    /// Starts a node and registers it in the instance list, as the platform does.
     pub async fn start_node(&mut self, name: &str, domain: &str) -> io::Result<()> {
-        let settings = self.settings(name, domain)?;
+        let settings = self.write_settings(name, domain)?;
         let mut command = (self.programs.product)();
         command.args(["serve", "--settings"]).arg(settings);
         let process = Process::start(&mut command)?;
-        let greeting: Value = serde_json::from_str(&process.greeting).map_err(io::Error::other)?;
-        let face = |face: &str| greeting[face].as_str().unwrap_or_default().to_owned();
-        let url = format!("http://{}", face("callers"));
+        let addresses: Value =
+            serde_json::from_str(&process.first_line).map_err(io::Error::other)?;
+        let address = |name: &str| addresses[name].as_str().unwrap_or_default().to_owned();
+        let url = format!("http://{}", address("callers"));
         let node = Node {
             server: Server { process, name: name.into(), url: url.clone() },
-            operators: format!("http://{}", face("operators")),
-            peers: face("peers").into(),
+            operators: format!("http://{}", address("operators")),
+            peers: address("peers").into(),
         };
         let instance = Instance {
             name: name.into(),
@@ -133,16 +134,16 @@
         Ok(())
     }
 
-    /// Waits until every node says that it is ready.
+    /// Waits until every node reports that it is ready.
     pub async fn ready(&self) -> io::Result<()> {
         for node in &self.nodes {
             let url = format!("{}/readyz", node.server.url);
-            self.until_ok(&url).await?;
+            self.wait_for_success(&url).await?;
         }
         Ok(())
     }
 
-    /// Writes a catalogue straight into the table, as revision `revision`.
+    /// Writes a catalogue directly into the table, as revision `revision`.
     pub async fn apply(&self, revision: u64, catalog: &Value) -> io::Result<()> {
         let write =
             |key: String, value| Write { key: key.into(), expect: None, value: Some(value) };
@@ -157,34 +158,39 @@
         Ok(())
     }
 
-    /// Switches the faults of a stand-in.
+    /// Replaces the faults of a stand-in.
     pub async fn faults(&self, server: &Server, faults: &Faults) -> io::Result<()> {
         post(&self.client, &format!("{}/admin/faults", server.url), faults).await?;
         Ok(())
     }
 
-    /// A runner by name.
+    /// Returns the runner or service `name`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if none of this name was started.
     pub fn runner(&mut self, name: &str) -> &mut Server {
         let found = self.runners.iter_mut().find(|r| r.name == name);
-        found.unwrap_or_else(|| panic!("no runner {name} was started"))
+        found.unwrap_or_else(|| panic!("no runner or service {name:?} was started"))
     }
 
-    /// Base URLs of all nodes' callers' faces.
+    /// Returns the base URLs of the callers' interfaces of all nodes.
     pub fn urls(&self) -> Vec<String> {
         self.nodes.iter().map(|n| n.server.url.clone()).collect()
     }
 
-    /// A folder that is removed with the fleet.
+    /// Returns a temporary folder that is removed with the fleet.
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
 
-    /// A client for talking to stand-ins.
+    /// Returns an HTTP client for the stand-ins.
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    fn settings(&self, name: &str, domain: &str) -> io::Result<std::path::PathBuf> {
+    /// Writes the certificates and the settings of a node; returns the path of the settings.
+    fn write_settings(&self, name: &str, domain: &str) -> io::Result<std::path::PathBuf> {
         let folder = self.folder.path();
         self.authority.write(folder, name)?;
         let mut settings = json!({
@@ -212,20 +218,21 @@
         Ok(path)
     }
 
-    async fn until_ok(&self, url: &str) -> io::Result<()> {
-        for _ in 0..LOOKS {
+    /// Polls a URL until it returns a success status.
+    async fn wait_for_success(&self, url: &str) -> io::Result<()> {
+        for _ in 0..MAX_POLLS {
             let answer =
                 crate::http::call(&self.client, http::Method::GET, url, &[], Vec::new()).await;
             if answer.is_ok_and(|a| a.status.is_success()) {
                 return Ok(());
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
-        Err(io::Error::other(format!("{url} never answered with success")))
+        Err(io::Error::other(format!("{url} returned no success status in {MAX_POLLS} polls")))
     }
 }
 
-/// A catalogue with one account that may use an engine entry and a service entry.
+/// Returns a catalogue with one account that may use an engine entry and a service entry.
 pub fn catalog(engine: &str, service: &str) -> Value {
     let entry = |name: &str, kind: &str| {
         json!({
@@ -245,7 +252,7 @@
     })
 }
 
-/// Lower-case hex SHA-256 of a key.
+/// Returns the SHA-256 of a key in lower-case hexadecimal.
 pub fn digest(key: &str) -> CompactString {
     Sha256::digest(key.as_bytes())
         .iter()
@@ -254,8 +261,9 @@
         .to_compact_string()
 }
 
-fn server(command: &mut Command, name: &str) -> io::Result<Server> {
+/// Starts a stand-in, which prints its URL as its first line.
+fn start_server(command: &mut Command, name: &str) -> io::Result<Server> {
     let process = Process::start(command)?;
-    let url = process.greeting.strip_prefix("listening on ").unwrap_or_default().to_owned();
+    let url = process.first_line.strip_prefix("listening on ").unwrap_or_default().to_owned();
     Ok(Server { process, name: name.into(), url })
 }
--- a/crates/harness/src/http.rs
+++ b/crates/harness/src/http.rs
@@ -1,4 +1,4 @@
-//! JSON over HTTP, for talking to stand-ins and nodes.
+//! HTTP client with JSON bodies, for stand-ins and nodes.
 
 use {
     http::{HeaderMap, Method, StatusCode},
@@ -10,7 +10,7 @@
     },
 };
 
-/// An answer read whole.
+/// A response with its whole body.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// Status.
@@ -22,18 +22,18 @@
 }
 
 impl Answer {
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> io::Result<T> {
         serde_json::from_slice(&self.body).map_err(io::Error::other)
     }
 }
 
-/// A client with connections of its own.
+/// Creates a client with its own connection pool.
 pub fn client() -> Client {
     Client::builder().build().expect("the client's configuration is constant")
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the whole response.
 pub async fn call(
     client: &Client,
     method: Method,
@@ -51,18 +51,20 @@
     Ok(Answer { status: head.status, headers: head.headers, body })
 }
 
-/// Sends JSON and expects success.
+/// Sends JSON with `POST`; a status other than success is an error.
 pub async fn post(client: &Client, url: &str, value: &impl Serialize) -> io::Result<Answer> {
     let body = serde_json::to_vec(value).map_err(io::Error::other)?;
     let headers = [("content-type", "application/json")];
     let answer = call(client, Method::POST, url, &headers, body).await?;
     match answer.status.is_success() {
         true => Ok(answer),
-        false => Err(io::Error::other(format!("POST {url}: {}", answer.status))),
+        false => {
+            Err(io::Error::other(format!("POST {url}: expected success, got {}", answer.status)))
+        }
     }
 }
 
-/// Reads JSON.
+/// Fetches JSON with `GET`.
 pub async fn get<T: DeserializeOwned>(client: &Client, url: &str) -> io::Result<T> {
     call(client, Method::GET, url, &[], Vec::new()).await?.json()
 }
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -1,6 +1,6 @@
-//! Starts nodes and stand-ins as processes of one machine, and calls them as a caller would.
+//! Starts nodes and stand-ins as processes on one machine, and calls them as a caller does.
 //!
-//! For the demo, the measurements and the tests; the product doesn't use it.
+//! Used by the demo, the measurements and the tests, not by the product.
 
 pub mod caller;
 pub mod certificates;
--- a/crates/harness/src/process.rs
+++ b/crates/harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process that ends with its handle, and can be killed or frozen before.
+//! A child process that is killed when its handle is dropped, and can be suspended.
 
 use {
     rustix::process::{Pid, Signal, kill_process},
@@ -12,48 +12,48 @@
 /// A running child process.
 pub struct Process {
     child: Child,
-    /// First line that it wrote to standard output.
-    pub greeting: String,
+    /// First line of its standard output.
+    pub first_line: String,
 }
 
 impl Process {
     /// Starts a process and waits for its first line of output.
     pub fn start(command: &mut Command) -> io::Result<Process> {
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
-        let stdout = child.stdout.take().expect("it was asked for");
+        let stdout = child.stdout.take().expect("stdout is piped");
         let mut stdout = BufReader::new(stdout);
-        let mut greeting = String::new();
-        if stdout.read_line(&mut greeting)? == 0 {
+        let mut first_line = String::new();
+        if stdout.read_line(&mut first_line)? == 0 {
             let status = child.wait()?;
-            return Err(io::Error::other(format!("{command:?} ended at once: {status}")));
+            return Err(io::Error::other(format!("{command:?} ended without output: {status}")));
         }
         thread::spawn(move || drain(stdout));
-        Ok(Process { child, greeting: greeting.trim_end().to_owned() })
+        Ok(Process { child, first_line: first_line.trim_end().to_owned() })
     }
 
-    /// Its number in the system.
+    /// Returns its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends it with no notice.
+    /// Kills it (SIGKILL) and waits for its end.
     pub fn kill(&mut self) {
-        // It may have ended by itself.
+        // It may already have ended.
         _ = self.child.kill();
         _ = self.child.wait();
     }
 
-    /// Freezes it (SIGSTOP).
+    /// Suspends it (SIGSTOP).
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on (SIGCONT).
+    /// Resumes it (SIGCONT).
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to leave (SIGTERM).
+    /// Requests its termination (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
@@ -63,15 +63,15 @@
         self.child.wait()
     }
 
-    /// Its status, if it has ended.
+    /// Returns its exit status, if it has ended.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        // It may have ended by itself.
-        _ = kill_process(pid.expect("a child has a positive id"), signal);
+        // It may already have ended.
+        _ = kill_process(pid.expect("a child has a positive process id"), signal);
     }
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Reads on, so that the child never blocks on a full pipe.
+/// Reads and discards the output, so that the child does not block on a full pipe.
 fn drain(mut stdout: BufReader<ChildStdout>) {
     let mut buffer = [0; 4096];
     while stdout.read(&mut buffer).is_ok_and(|count| count > 0) {}
