--- a/crates/relay/src/control/gossip.rs
+++ b/crates/relay/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Messages from and to peers.
+//! Exchange of messages with peers.
 
 use {
     super::Control,
@@ -26,7 +26,9 @@
     }
 
     pub(super) fn handle_peer_event(&mut self, event: Received) {
-        let Received::Message { from, message } = event else { return self.pass_to_members(event) };
+        let Received::Message { from, message } = event else {
+            return self.handle_membership_event(event);
+        };
         match message {
             PeerMessage::Move(update) => {
                 self.rollouts.handle_peer_update(Instant::now(), &update);
@@ -42,31 +44,31 @@
             message @ (PeerMessage::Table(_)
             | PeerMessage::TablePull(_)
             | PeerMessage::StoreReport(_)) => self.sync_with(&from, message),
-            message => self.pass_to_members(Received::Message { from, message }),
+            message => self.handle_membership_event(Received::Message { from, message }),
         }
     }
 
-    fn pass_to_members(&mut self, event: Received) {
+    fn handle_membership_event(&mut self, event: Received) {
         if let Some(membership) = &mut self.membership {
-            let lost = membership.receive(Instant::now(), event, self.row.as_ref());
-            self.forward_failures(lost);
+            let failed = membership.receive(Instant::now(), event, self.row.as_ref());
+            self.forward_failures(failed);
         }
     }
 
     fn apply_gossiped_catalog(&mut self, push: CatalogPush) {
         let row =
             Row { key: R::CATALOG.into(), value: Some(push.doc.into()), revision: push.revision };
-        self.sync.gossiped(Instant::now(), row.clone());
-        self.put_in_force(&row);
+        self.sync.on_gossip(Instant::now(), row.clone());
+        self.apply_catalog(&row);
     }
 
     fn forward_load(&mut self, from: CompactString, load: Load) {
         self.adopt_restarts(&load.restarts);
-        // The receiver lives as long as the process.
+        // The receiver exists as long as the process.
         _ = self.peer_reports.send(PeerReport { from, load });
     }
 
-    /// Applies restarts found by this node or a peer.
+    /// Applies restarts of runners found by this node or a peer.
     fn adopt_restarts(&mut self, restarts: &[Restart]) {
         let settled = self.sync.is_settled(Instant::now());
         if !restarts.is_empty() && self.registry.adopt_restarts(restarts, settled) {
@@ -74,11 +76,12 @@
         }
     }
 
-    /// Forwards failures reported by gossip, which does not name the reporter.
+    /// Forwards failures of runners received by gossip to the traffic thread; gossip does not
+    /// include the reporting node.
     pub(super) fn forward_failures(&self, failed: Vec<CompactString>) {
         if !failed.is_empty() {
             let load = Load { failed, ..Load::default() };
-            // The receiver lives as long as the process.
+            // The receiver exists as long as the process.
             _ = self.peer_reports.send(PeerReport { from: CompactString::default(), load });
         }
     }
--- a/crates/relay/src/flow/idempotent.rs
+++ b/crates/relay/src/flow/idempotent.rs
@@ -1,9 +1,9 @@
-//! Idempotent requests.
+//! Flow of idempotent requests.
 
 use {
-    super::{Traffic, ended, options},
+    super::{Traffic, send_options, summarize},
     crate::{
-        body::Answer,
+        body::ResponseBody,
         call::Call,
         dialect::Dialect,
         fleet::{Endpoint, RunnerKey},
@@ -17,22 +17,22 @@
     tokio::time::Instant,
 };
 
-/// Share of the latency objective after which a slow runner is abandoned for another one.
+/// Share of the latency objective after which the request is sent to another runner.
 const HEDGE_SHARE: f64 = 0.6;
-/// Maximum runners tried while each rejects the request.
-const RUNNERS: usize = 5;
+/// Maximum number of runners that are tried while each of them rejects the request.
+const MAX_RUNNERS: usize = 5;
 
-/// State between two attempts.
+/// State of a request between two attempts.
 #[derive(Default)]
 struct Progress {
     tried: Vec<RunnerKey>,
     /// Whether an attempt has reached a runner.
-    arrived: bool,
-    /// Attempts that may have run.
+    reached_runner: bool,
+    /// Number of attempts that may have run.
     runs: u32,
-    /// Response to return if no runner succeeds.
+    /// Error response of a runner, returned if no runner succeeds.
     failure: Option<(Parts, Bytes)>,
-    /// Error of the last attempt.
+    /// Error of the last attempt without a response.
     lost: Option<SendError>,
 }
 
@@ -40,24 +40,25 @@
 pub(super) async fn serve<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     call: &Call,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let mut progress = Progress::default();
     let end = call.deadline();
     let attempts = call.route.attempts.max(1);
-    while progress.runs < attempts && progress.tried.len() < RUNNERS && Instant::now() < end {
-        let Some(endpoint) = traffic.choose(call, &progress.tried) else { break };
-        if progress.arrived && !traffic.may_retry(&call.service) {
+    while progress.runs < attempts && progress.tried.len() < MAX_RUNNERS && Instant::now() < end {
+        let Some(endpoint) = traffic.choose_runner(call, &progress.tried) else { break };
+        if progress.reached_runner && !traffic.take_retry(&call.service) {
             break;
         }
-        let last = progress.runs + 1 == attempts || traffic.client.fleet.ready(&call.service) < 2;
-        let until = if last { end } else { hedge_deadline(call, end) };
-        let _lease = traffic.client.fleet.call(endpoint.clone());
-        let options = options(call, &endpoint, progress.tried.len());
+        let last =
+            progress.runs + 1 == attempts || traffic.client.fleet.ready_count(&call.service) < 2;
+        let deadline = if last { end } else { hedge_deadline(call, end) };
+        let _lease = traffic.client.fleet.lease_call(endpoint.clone());
+        let options = send_options(call, &endpoint, progress.tried.len());
         progress.tried.push(endpoint.key);
-        let sent = traffic.client.send(call, &endpoint, &options, until).await;
-        let answer = take(traffic, &mut progress, sent, &endpoint, until).await;
+        let sent = traffic.client.send(call, &endpoint, &options, deadline).await;
+        let answer = evaluate(traffic, &mut progress, sent, &endpoint, deadline).await;
         if progress.tried.len() == 1 && progress.runs == 1 {
-            traffic.record_trial(call, endpoint.key, ended(call, answer.is_some()));
+            traffic.report_sample(call, endpoint.key, summarize(call, answer.is_some()));
         }
         if let Some((parts, bytes)) = answer {
             return Response::from_parts(parts, bytes.into());
@@ -65,57 +66,57 @@
     }
     match progress.failure {
         Some((parts, bytes)) => Response::from_parts(parts, bytes.into()),
-        None => traffic.refuse(call, refusal(traffic, call, &progress)),
+        None => traffic.reject(call, rejection_of(traffic, call, &progress)),
     }
 }
 
-/// Deadline of an attempt that is not the last.
+/// Returns the deadline of an attempt that is not the last one.
 fn hedge_deadline(call: &Call, end: Instant) -> Instant {
     let now = Instant::now();
     let share = call.route.objective.mul_f64(HEDGE_SHARE);
     (now + share).min(now + end.saturating_duration_since(now) / 2)
 }
 
-/// Evaluates an attempt; returns the response if it is final.
-async fn take<D: Dialect, N: Network>(
+/// Evaluates an attempt and returns its response if that is final.
+async fn evaluate<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     progress: &mut Progress,
     sent: SendOutcome,
     endpoint: &Endpoint,
-    until: Instant,
+    deadline: Instant,
 ) -> Option<(Parts, Bytes)> {
     let (fleet, key) = (&traffic.client.fleet, endpoint.key);
-    progress.arrived |= !matches!(sent, SendOutcome::Unsent | SendOutcome::Withheld);
+    progress.reached_runner |= !matches!(sent, SendOutcome::Unsent | SendOutcome::Withheld);
     match sent {
         SendOutcome::Answered(reply) => {
             progress.runs += 1;
-            match traffic.client.whole(reply, endpoint, until).await {
+            match traffic.client.read_body(reply, endpoint, deadline).await {
                 Ok((parts, bytes)) if !is_failure(parts.status) => return Some((parts, bytes)),
                 Ok(failure) => progress.failure = Some(failure),
                 Err(error) => progress.lost = Some(error),
             }
         }
         SendOutcome::NotRun | SendOutcome::Withheld => {}
-        SendOutcome::Unsent => fleet.failed(key, Instant::now()),
+        SendOutcome::Unsent => fleet.record_failure(key, Instant::now()),
         SendOutcome::Lost(error) => {
             progress.runs += 1;
             progress.lost = Some(error);
             match error {
-                SendError::Silent => fleet.full(key, Instant::now()),
-                SendError::Unsent | SendError::Broken => fleet.failed(key, Instant::now()),
+                SendError::Silent => fleet.record_overload(key, Instant::now()),
+                SendError::Unsent | SendError::Broken => fleet.record_failure(key, Instant::now()),
             }
         }
     }
     None
 }
 
-fn refusal<D: Dialect, N: Network>(
+fn rejection_of<D: Dialect, N: Network>(
     traffic: &Traffic<D, N>,
     call: &Call,
     progress: &Progress,
 ) -> Refusal {
     match progress.lost {
-        None => traffic.not_run(call),
+        None => traffic.not_run_rejection(call),
         Some(SendError::Silent) => Refusal::Timeout,
         Some(_) => Refusal::Lost,
     }
--- a/crates/relay/src/rollouts/track.rs
+++ b/crates/relay/src/rollouts/track.rs
@@ -1,7 +1,7 @@
 //! State machine of one rollout.
 
 use {
-    super::{Record, RolloutOrder, exposure::SHARE},
+    super::{RolloutOrder, RolloutStatus, exposure::CANARY_SHARE},
     crate::view::{Rule, Split},
     bilberryfront_decide::{
         chart::Chart,
@@ -21,37 +21,38 @@
 
 static CHART: LazyLock<Chart<Phase, Signal>> = LazyLock::new(|| {
     Chart::parse(include_str!("../../../../charts/rollout.json"))
-        .expect("charts/rollout.json is whole")
+        .expect("charts/rollout.json is valid")
 });
 
-/// Share of the time after which a healthy version is completed; the rest covers the write and a
-/// fail-over of the writer.
-const DECIDE: f64 = 0.85;
-/// Share of the time after which it is completed with little evidence, or rolled back.
-const LAST_CALL: f64 = 0.94;
-/// Finished requests of the new version required at [`DECIDE`].
-const NEED: u32 = 12;
-/// Bad events beyond its share that are attributed to chance.
-const CHANCE: f64 = 2.0;
+/// Share of the rollout time after which a healthy version is completed; the rest covers the write
+/// and a failover of the writer.
+const COMPLETE_SHARE: f64 = 0.85;
+/// Share of the rollout time after which the version is completed if at least one request has
+/// finished and it is healthy, or rolled back otherwise.
+const FINAL_SHARE: f64 = 0.94;
+/// Number of finished requests of the new version that are required at [`COMPLETE_SHARE`].
+const MIN_FINISHED: u32 = 12;
+/// Number of bad events beyond the new version's share that are attributed to chance.
+const CHANCE_EVENTS: f64 = 2.0;
 /// Evaluation interval.
-const EVALUATE_EVERY: Duration = Duration::from_millis(200);
+const EVALUATE_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval of messages to peers.
-const REPORT_EVERY: Duration = Duration::from_millis(400);
-/// Delay between the writers' turns.
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
+/// Delay before each further node writes, if the status has not been stored.
 const WRITER_STAGGER: Duration = Duration::from_millis(300);
-/// Delay before a write is retried.
-const RETRY: Duration = Duration::from_millis(700);
+/// Delay before the write of a status is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Phase; see `charts/rollout.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// The new version gets a bounded share.
+    /// The new version gets a bounded share of the requests.
     Canary,
-    /// The new version gets everything; the old runners stop.
+    /// The new version gets all requests; the old runners stop.
     Completed,
-    /// The new version gets nothing.
+    /// The new version gets no requests.
     RolledBack,
 }
 
@@ -61,40 +62,40 @@
 enum Signal {
     /// Stored as completed.
     Proved,
-    /// Found bad, or stored as rolled back.
+    /// Found unhealthy, or stored as rolled back.
     Rejected,
-    /// Stored as completed before this node found it bad.
+    /// Stored as completed although this node has found it unhealthy.
     RecordedCompleted,
 }
 
-/// A side effect of a rollout.
+/// Side effect of a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write this status if the stored one has revision `expected` (0: none).
+    /// Write this status if the stored one has the revision `expected`; 0 if there is none.
     Write {
         /// Status.
-        record: Record,
+        status: RolloutStatus,
         /// Expected revision.
         expected: u64,
     },
-    /// Send to all peers.
-    Tell(MoveUpdate),
+    /// Send this message to all peers.
+    Broadcast(MoveUpdate),
 }
 
-pub(super) struct Track {
+pub(super) struct Rollout {
     me: Incarnation,
     revision: u64,
     order: RolloutOrder,
     start: Instant,
     phase: Phase,
-    /// Revision of the stored status, and its phase if it belongs to this rollout.
+    /// Revision of the stored status, with its phase if it belongs to this rollout.
     recorded: (u64, Option<Phase>),
     collector: Collector,
     pool: PooledEvidence,
     routes: BTreeMap<CompactString, Counts>,
     judge: SequentialTest,
     verdict: Option<Verdict>,
-    /// Time of the verdict.
+    /// Time at which the verdict was set.
     decided_at: Instant,
     runners: usize,
     evaluate_at: Instant,
@@ -104,9 +105,14 @@
     sequence: u64,
 }
 
-impl Track {
-    pub(super) fn new(now: Instant, me: Incarnation, revision: u64, order: RolloutOrder) -> Track {
-        Track {
+impl Rollout {
+    pub(super) fn new(
+        now: Instant,
+        me: Incarnation,
+        revision: u64,
+        order: RolloutOrder,
+    ) -> Rollout {
+        Rollout {
             me,
             revision,
             start: now,
@@ -136,15 +142,15 @@
         &self.order.to
     }
 
-    pub(super) fn runners(&mut self, new: usize) {
+    pub(super) fn set_ready_runners(&mut self, new: usize) {
         self.runners = new;
     }
 
-    /// Applies a stored status; one older than the order belongs to an earlier rollout.
-    pub(super) fn record(&mut self, revision: u64, record: &Record) {
-        let mine = revision > self.revision && record.to == self.order.to;
-        self.recorded = (revision, mine.then_some(record.phase));
-        match record.phase {
+    /// Applies a stored status. A status older than the order belongs to an earlier rollout.
+    pub(super) fn apply_status(&mut self, revision: u64, status: &RolloutStatus) {
+        let mine = revision > self.revision && status.to == self.order.to;
+        self.recorded = (revision, mine.then_some(status.phase));
+        match status.phase {
             Phase::Completed if mine && self.phase == Phase::RolledBack => {
                 self.transition(Signal::RecordedCompleted);
             }
@@ -160,30 +166,30 @@
         }
     }
 
-    pub(super) fn handle_peer_update(&mut self, now: Instant, news: &MoveUpdate) {
-        if news.id != self.id() {
+    pub(super) fn handle_peer_update(&mut self, now: Instant, update: &MoveUpdate) {
+        if update.id != self.id() {
             return;
         }
-        if let Some(evidence) = &news.evidence {
-            self.pool.merge(news.from, evidence);
+        if let Some(evidence) = &update.evidence {
+            self.pool.merge(update.from, evidence);
         }
-        if let Some(verdict) = &news.verdict {
+        if let Some(verdict) = &update.verdict {
             self.roll_back(now, verdict.clone());
         }
     }
 
     pub(super) fn split(&self) -> Split {
         let rule = match self.phase {
-            Phase::Canary => Rule::Trial,
-            Phase::Completed => Rule::New,
-            Phase::RolledBack => Rule::Old,
+            Phase::Canary => Rule::Canary,
+            Phase::Completed => Rule::OnlyNew,
+            Phase::RolledBack => Rule::OnlyOld,
         };
         Split { id: self.id(), to: self.order.to.clone(), rule }
     }
 
     pub(super) fn tick(&mut self, now: Instant, rank: usize, nodes: usize) -> Vec<Action> {
         self.evaluate(now, nodes);
-        let report = self.report(now).map(Action::Tell);
+        let report = self.report(now).map(Action::Broadcast);
         let write = self.write(now, rank);
         report.into_iter().chain(write).collect()
     }
@@ -214,7 +220,7 @@
         if now < self.evaluate_at || self.phase != Phase::Canary {
             return;
         }
-        self.evaluate_at = now + EVALUATE_EVERY;
+        self.evaluate_at = now + EVALUATE_INTERVAL;
         self.pool.merge(self.me, self.collector.evidence());
         if let Some(routes) = self.pool.take_changed() {
             self.routes = routes;
@@ -224,27 +230,28 @@
             let verdict = Verdict { cause: found.cause, route: found.route, node: self.me };
             return self.roll_back(now, verdict);
         }
-        if now >= self.at(LAST_CALL) && !self.is_healthy(now, 1) {
+        if now >= self.at(FINAL_SHARE) && !self.is_healthy(now, 1) {
             let route = CompactString::default();
             self.roll_back(now, Verdict { cause: Cause::Deadline, route, node: self.me });
         }
     }
 
-    /// Whether the new version is healthy on at least `need` requests.
+    /// Returns whether the new version has runners, is not suspect, and has finished at least
+    /// `need` requests.
     fn is_healthy(&self, now: Instant, need: u32) -> bool {
         let suspect = self.judge.is_suspect(now) && self.is_worse();
         self.runners > 0 && !suspect && self.served() >= need
     }
 
-    /// Whether the new version has more than its share of bad events; a shared outage affects both
-    /// versions alike.
+    /// Returns whether the new version has more than its share of bad events. An outage behind the
+    /// runners affects both versions alike.
     fn is_worse(&self) -> bool {
-        let part = SHARE.fraction() * TOLERANCE;
-        let excess = |t: &Tally| f64::from(t.new) > f64::from(t.old + t.new) * part + CHANCE;
+        let part = CANARY_SHARE.fraction() * TOLERANCE;
+        let excess = |t: &Tally| f64::from(t.new) > f64::from(t.old + t.new) * part + CHANCE_EVENTS;
         self.routes.values().any(|counts| counts.bad.iter().any(excess))
     }
 
-    /// Finished requests of the new version on all nodes.
+    /// Returns the number of finished requests of the new version on all nodes.
     fn served(&self) -> u32 {
         self.routes.values().map(|c| c.new).sum()
     }
@@ -259,7 +266,7 @@
         if now < self.report_at || !open || (sequence == self.reported && self.verdict.is_none()) {
             return None;
         }
-        self.report_at = now + REPORT_EVERY;
+        self.report_at = now + REPORT_INTERVAL;
         self.reported = sequence;
         self.sequence += 1;
         Some(MoveUpdate {
@@ -273,33 +280,35 @@
         })
     }
 
-    /// Whether a final status is stored.
+    /// Returns whether a final status is stored.
     fn is_over(&self) -> bool {
         matches!(self.recorded.1, Some(Phase::Completed | Phase::RolledBack))
     }
 
-    /// The status to be written, if it is this node's turn.
+    /// Returns the write of a status, if one is due and it is this node's turn.
     fn write(&mut self, now: Instant, rank: usize) -> Option<Action> {
         let (phase, due) = self.due(now)?;
         if self.is_over() || now < due + WRITER_STAGGER * rank as u32 || now < self.write_at {
             return None;
         }
-        self.write_at = now + RETRY;
+        self.write_at = now + WRITE_RETRY_DELAY;
         let RolloutOrder { service, to, .. } = self.order.clone();
-        let record = Record { service, to, phase };
-        Some(Action::Write { record, expected: self.recorded.0 })
+        let status = RolloutStatus { service, to, phase };
+        Some(Action::Write { status, expected: self.recorded.0 })
     }
 
-    /// The status that should be stored, and since when.
+    /// Returns the phase that should be stored, with the time since when.
     fn due(&self, now: Instant) -> Option<(Phase, Instant)> {
         match self.phase {
             Phase::Completed => None,
             Phase::RolledBack => Some((Phase::RolledBack, self.decided_at)),
-            Phase::Canary if now >= self.at(LAST_CALL) && self.is_healthy(now, 1) => {
-                Some((Phase::Completed, self.at(LAST_CALL)))
+            Phase::Canary if now >= self.at(FINAL_SHARE) && self.is_healthy(now, 1) => {
+                Some((Phase::Completed, self.at(FINAL_SHARE)))
             }
-            Phase::Canary if now >= self.at(DECIDE) && self.is_healthy(now, NEED) => {
-                Some((Phase::Completed, self.at(DECIDE)))
+            Phase::Canary
+                if now >= self.at(COMPLETE_SHARE) && self.is_healthy(now, MIN_FINISHED) =>
+            {
+                Some((Phase::Completed, self.at(COMPLETE_SHARE)))
             }
             Phase::Canary if self.recorded.1.is_none() => Some((Phase::Canary, self.start)),
             Phase::Canary => None,
