--- a/crates/relay/src/control/catalog.rs
+++ b/crates/relay/src/control/catalog.rs
@@ -4,7 +4,7 @@
     super::Control,
     crate::{
         catalog::Catalog,
-        log_messages::IN_FORCE,
+        log_messages::CATALOG_APPLIED,
         records::Records,
         store::{Row, Store},
     },
@@ -32,7 +32,7 @@
         match self.records.parse_catalog(value) {
             Ok(catalog) if self.is_newer(&catalog) => {
                 log::info!(version = catalog.version, revision = row.revision;
-                    "{IN_FORCE}");
+                    "{CATALOG_APPLIED}");
                 self.catalog = Some(Arc::new(catalog));
                 self.row = Some((row.revision, value.clone()));
                 self.publish();
--- a/crates/relay/src/control/feed.rs
+++ b/crates/relay/src/control/feed.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        log_messages::STORE_BACK,
+        log_messages::STORE_RECOVERED,
         metrics::{Metrics, PollOutcome},
         store::{Result, Revision, Rows, Store, StoreError},
     },
@@ -114,7 +114,7 @@
     fn changes(&self, response: Result<Rows>, failures: &mut u32) -> Vec<Change> {
         let mut changes = Vec::new();
         if response.is_ok() && *failures > 0 {
-            log::info!(table = self.name; "{STORE_BACK}");
+            log::info!(table = self.name; "{STORE_RECOVERED}");
             changes.push(Change::Available);
             self.recoveries.send_modify(|count| *count += 1);
         }
--- a/crates/relay/src/control/registry.rs
+++ b/crates/relay/src/control/registry.rs
@@ -1,7 +1,7 @@
 //! Registry of runners, built from their registrations in the store.
 
 use {
-    crate::{log_messages::RUNNER_GONE, records::Records, store::Row, view::Registration},
+    crate::{log_messages::RUNNER_REMOVED, records::Records, store::Row, view::Registration},
     bilberryfront_decide::member::message::Restart,
     compact_str::CompactString,
     std::{collections::BTreeMap, sync::Arc, time::Duration},
@@ -159,7 +159,7 @@
     }
 
     fn drop_entry(&mut self, id: &CompactString) {
-        log::info!(runner = id.as_str(); "{RUNNER_GONE}");
+        log::info!(runner = id.as_str(); "{RUNNER_REMOVED}");
         self.entries.remove(id);
     }
 
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -14,7 +14,7 @@
         catalog::{Engine, Kind},
         dialect::{Dialect, SendOptions},
         fleet::{Criteria, Endpoint, Fleet, RunnerKey, Version},
-        log_messages::{FAILURE_PASSED, REFUSED},
+        log_messages::{ERROR_RETURNED, REJECTED},
         metrics::{Metrics, Outcome},
         network::Network,
         refusal::Refusal,
@@ -130,7 +130,7 @@
         if outcome == Outcome::Failed {
             let waited = start.elapsed().as_millis() as u64;
             log::info!(request = id.as_str(), status = response.status().as_u16(), waited;
-                "{FAILURE_PASSED}");
+                "{ERROR_RETURNED}");
         }
         let latency = (outcome == Outcome::Served).then(|| start.elapsed());
         self.metrics.count_request(kind, outcome, latency);
@@ -227,7 +227,7 @@
         let waited = call.start.elapsed().as_millis() as u64;
         self.metrics.count_refusal(refusal);
         log::warn!(request = call.head.id.as_str(), route = call.route.name.as_str(), waited,
-            ready = self.client.fleet.ready_count(&call.service); "{REFUSED}{refusal:?}");
+            ready = self.client.fleet.ready_count(&call.service); "{REJECTED}{refusal:?}");
         refusal.into_response(&self.client.dialect, Some(&call.head.id))
     }
 }
--- a/crates/relay/src/flow/generation/logging.rs
+++ b/crates/relay/src/flow/generation/logging.rs
@@ -4,7 +4,7 @@
     super::{Generation, run::Run},
     crate::{
         dialect::Dialect,
-        log_messages::{RUN_BEGUN, STREAM_BROKEN, STREAM_ENDED},
+        log_messages::{RUN_STARTED, STREAM_ABORTED, STREAM_COMPLETED},
         metrics::Outcome,
         network::Network,
     },
@@ -17,20 +17,20 @@
             replica = run.replica().map_or("", |b| b.holder().id.as_str()), sends = self.sends,
             position = self.position.unwrap_or_default(), from_replica, waited,
             prompt = self.call.head.prompt.unwrap_or_default();
-            "{RUN_BEGUN}");
+            "{RUN_STARTED}");
     }
 
     pub(super) fn log_ended(&self, run: &Run) {
         let took = self.call.start.elapsed().as_millis() as u64;
         log::info!(request = self.call.head.id.as_str(), runner = run.endpoint().id.as_str(),
             sends = self.sends, position = self.position.unwrap_or_default(), took;
-            "{STREAM_ENDED}");
+            "{STREAM_COMPLETED}");
     }
 
     pub(super) fn log_broken(&self) {
         self.traffic.metrics.count_request(self.call.route.kind, Outcome::Aborted, None);
         log::warn!(request = self.call.head.id.as_str(), sends = self.sends, runs = self.runs,
             position = self.position.unwrap_or_default();
-            "{STREAM_BROKEN}: no runner can resume it");
+            "{STREAM_ABORTED}: no runner can resume it");
     }
 }
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -8,7 +8,7 @@
         dialect::{Dialect, Malformed, Query},
         drain::Drain,
         flow::Traffic,
-        log_messages::REFUSED,
+        log_messages::REJECTED,
         network::Network,
         refusal::Refusal,
         view::NodeAddress,
@@ -148,7 +148,7 @@
 
     fn reject(&self, refusal: Refusal, id: Option<&str>) -> Response<ResponseBody> {
         self.traffic.metrics.count_refusal(refusal);
-        log::warn!(request = id.unwrap_or_default(), version = self.version(); "{REFUSED}{refusal:?}");
+        log::warn!(request = id.unwrap_or_default(), version = self.version(); "{REJECTED}{refusal:?}");
         refusal.into_response(self.dialect(), id)
     }
 
--- a/crates/relay/src/log_messages.rs
+++ b/crates/relay/src/log_messages.rs
@@ -1,31 +1,31 @@
 //! Log messages that the `explain` command parses.
 
 /// Request rejected by this node; followed by the reason.
-pub const REFUSED: &str = "rejected: ";
+pub const REJECTED: &str = "rejected: ";
 /// First event of a run received.
-pub const RUN_BEGUN: &str = "run started";
+pub const RUN_STARTED: &str = "run started";
 /// Run lost; followed by the reason.
 pub const RUN_LOST: &str = "run lost: ";
 /// Last event of a stream forwarded.
-pub const STREAM_ENDED: &str = "stream completed";
+pub const STREAM_COMPLETED: &str = "stream completed";
 /// Stream aborted before its end.
-pub const STREAM_BROKEN: &str = "stream aborted";
+pub const STREAM_ABORTED: &str = "stream aborted";
 /// Response lost; followed by the reason.
-pub const ANSWER_LOST: &str = "response lost: ";
+pub const RESPONSE_LOST: &str = "response lost: ";
 /// Request rejected by a runner without being run.
-pub const NOT_RUN: &str = "request rejected by the runner";
+pub const REJECTED_BY_RUNNER: &str = "request rejected by the runner";
 /// Error response received from a runner.
-pub const RUN_FAILED: &str = "error response from the runner";
+pub const RUNNER_ERROR: &str = "error response from the runner";
 /// Error response returned to the caller.
-pub const FAILURE_PASSED: &str = "error response returned to the caller";
+pub const ERROR_RETURNED: &str = "error response returned to the caller";
 /// Catalogue applied.
-pub const IN_FORCE: &str = "catalogue applied";
+pub const CATALOG_APPLIED: &str = "catalogue applied";
 /// Process ready to accept connections.
-pub const SERVES: &str = "serving";
+pub const SERVING: &str = "serving";
 /// Store available again after an outage.
-pub const STORE_BACK: &str = "store available again";
+pub const STORE_RECOVERED: &str = "store available again";
 /// Registration of a runner removed.
-pub const RUNNER_GONE: &str = "runner removed";
+pub const RUNNER_REMOVED: &str = "runner removed";
 
 /// Runner advertises a new or changed rate limit.
 pub const RATE_LIMITED: &str = "the runner limits its rate of requests";
@@ -37,19 +37,19 @@
 
 /// All messages, for a test that the operators' page documents them.
 pub const ALL: [&str; 16] = [
-    REFUSED,
-    RUN_BEGUN,
+    REJECTED,
+    RUN_STARTED,
     RUN_LOST,
-    STREAM_ENDED,
-    STREAM_BROKEN,
-    ANSWER_LOST,
-    NOT_RUN,
-    RUN_FAILED,
-    FAILURE_PASSED,
-    IN_FORCE,
-    SERVES,
-    STORE_BACK,
-    RUNNER_GONE,
+    STREAM_COMPLETED,
+    STREAM_ABORTED,
+    RESPONSE_LOST,
+    REJECTED_BY_RUNNER,
+    RUNNER_ERROR,
+    ERROR_RETURNED,
+    CATALOG_APPLIED,
+    SERVING,
+    STORE_RECOVERED,
+    RUNNER_REMOVED,
     RATE_LIMITED,
     RATE_UNLIMITED,
     RUNNER_DRAINING,
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -8,7 +8,7 @@
         flow::Traffic,
         handler::{ADDRESSES_TTL, Handler},
         load_sync::{self, Channels},
-        log_messages::SERVES,
+        log_messages::SERVING,
         metrics::Metrics,
         network::Tcp,
         records::Records,
@@ -159,7 +159,7 @@
     tokio::task::spawn_local(load_sync::sync(fleet, budgets, channels));
     tokio::task::spawn_local(handle_signals(handler.drain.clone()));
     log::info!(name = settings.name.as_str(), domain = settings.domain.as_str(),
-        callers:% = settings.listen.callers; "{SERVES}");
+        callers:% = settings.listen.callers; "{SERVING}");
     let at = handler.drain.started().await;
     wait_drained(&handler, at, &close).await;
     Ok(())
--- a/crates/relay/src/runner_client.rs
+++ b/crates/relay/src/runner_client.rs
@@ -8,7 +8,7 @@
         dialect::{Dialect, Identity, Progress, ResponseHead, SendOptions},
         fleet::{Endpoint, Fleet},
         headers,
-        log_messages::{ANSWER_LOST, NOT_RUN, RUN_FAILED},
+        log_messages::{REJECTED_BY_RUNNER, RESPONSE_LOST, RUNNER_ERROR},
         metrics::{Metrics, Part},
         network::Network,
         pool::{Connection, SendError},
@@ -117,7 +117,7 @@
             }
             Err(error) => {
                 log::warn!(request = call.head.id.as_str(), runner = endpoint.id.as_str();
-                    "{ANSWER_LOST}{error}");
+                    "{RESPONSE_LOST}{error}");
                 return SendOutcome::Lost(error);
             }
         };
@@ -129,7 +129,7 @@
             log::info!(request = call.head.id.as_str(), runner = endpoint.id.as_str(),
                 status = parts.status.as_u16(), from_replica = options.from_replica.is_some(),
                 retry_after = head.retry_after.unwrap_or_default().as_millis() as u64;
-                "{NOT_RUN}");
+                "{REJECTED_BY_RUNNER}");
             self.finish_rejected(endpoint, &head, body, connection).await;
             if let Some(id) = head.runner.filter(|_| head.misdirected) {
                 tokio::task::spawn_local(restart::identify(self.clone(), endpoint.clone(), id));
@@ -182,7 +182,7 @@
                 self.count_bytes(Part::Answer, endpoint, bytes.len());
                 if is_failure(parts.status) {
                     log::info!(request, runner, status = parts.status.as_u16();
-                        "{RUN_FAILED}");
+                        "{RUNNER_ERROR}");
                 }
                 self.fleet.return_connection(endpoint.key, connection, head.idle);
                 return Ok((parts, bytes));
@@ -190,7 +190,7 @@
             Ok(Err(_)) => SendError::Broken,
             Err(_) => SendError::Silent,
         };
-        log::warn!(request, runner; "{ANSWER_LOST}{error}, while reading the body");
+        log::warn!(request, runner; "{RESPONSE_LOST}{error}, while reading the body");
         Err(error)
     }
 
--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -5,7 +5,7 @@
         cause,
         line::{Line, Logs},
     },
-    bilberryfront_relay::log_messages::{IN_FORCE, SERVES},
+    bilberryfront_relay::log_messages::{CATALOG_APPLIED, SERVING},
     compact_str::CompactString,
     jiff::{SignedDuration, Timestamp},
     serde::Serialize,
@@ -136,7 +136,7 @@
             (self.from..=self.to).contains(&line.order) && self.nodes.contains(&line.node);
         let runner = |field| line.text(field).is_some_and(|id| self.runners.contains(id));
         let is_relevant = line.fields.contains_key("table")
-            || [IN_FORCE, SERVES].contains(&line.message.as_str())
+            || [CATALOG_APPLIED, SERVING].contains(&line.message.as_str())
             || RUNNER_FIELDS.into_iter().any(runner);
         is_near && is_relevant && !line.fields.contains_key(REQUEST_FIELD)
     }
@@ -158,7 +158,7 @@
 }
 
 fn is_catalogue(line: &Line, version: u64) -> bool {
-    line.message == IN_FORCE && line.number("version") == Some(version)
+    line.message == CATALOG_APPLIED && line.number("version") == Some(version)
 }
 
 /// Formats the message and the fields of a line, except empty fields and the request id.
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -1,7 +1,7 @@
 //! Parsing of the log lines of entry instances.
 
 use {
-    bilberryfront_relay::log_messages::SERVES,
+    bilberryfront_relay::log_messages::SERVING,
     compact_str::CompactString,
     jiff::Timestamp,
     serde::Deserialize,
@@ -58,7 +58,7 @@
             self.lines.push(Line { at, order, node: name.into(), message, fields });
         }
         let added = &mut self.lines[first..];
-        let own = added.iter().find(|l| l.message == SERVES).and_then(|l| l.text("name"));
+        let own = added.iter().find(|l| l.message == SERVING).and_then(|l| l.text("name"));
         if let Some(own) = own.map(CompactString::from) {
             added.iter_mut().for_each(|line| line.node = own.clone());
         }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -20,7 +20,7 @@
 }
 
 fn in_force(millis: i64, version: u64) -> String {
-    line(millis, log_messages::IN_FORCE, json!({"version": version, "revision": version}))
+    line(millis, log_messages::CATALOG_APPLIED, json!({"version": version, "revision": version}))
 }
 
 fn lost(millis: i64, request: &str) -> String {
@@ -31,46 +31,46 @@
 fn begun(millis: i64, request: &str, copied: bool) -> String {
     let fields =
         json!({"request": request, "runner": "e2", "from_replica": copied, "position": 38});
-    line(millis, log_messages::RUN_BEGUN, fields)
+    line(millis, log_messages::RUN_STARTED, fields)
 }
 
 /// Logs of the instances `n1` and `n2`; the second one's catalogue is behind for two seconds.
 fn logs() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     let first = [
-        line(0, log_messages::SERVES, json!({"name": "n1"})),
+        line(0, log_messages::SERVING, json!({"name": "n1"})),
         in_force(1_000, 7),
         lost(2_000, "copied"),
         begun(2_010, "copied", true),
         lost(2_000, "read-again"),
         begun(3_200, "read-again", false),
-        line(3_300, log_messages::RUNNER_GONE, json!({"runner": "e1"})),
-        line(4_000, log_messages::STREAM_ENDED, json!({"request": "copied"})),
-        line(4_000, log_messages::STREAM_ENDED, json!({"request": "read-again"})),
+        line(3_300, log_messages::RUNNER_REMOVED, json!({"runner": "e1"})),
+        line(4_000, log_messages::STREAM_COMPLETED, json!({"request": "copied"})),
+        line(4_000, log_messages::STREAM_COMPLETED, json!({"request": "read-again"})),
         "no log line".into(),
         line(5_000, "rejected: Lost", json!({"request": "call", "waited": 18, "ready": 4})),
         line(6_000, "rejected: NotRun { retry: 300ms }", json!({"request": "full", "ready": 0})),
         in_force(7_000, 9),
         line(
             7_100,
-            log_messages::RUN_FAILED,
+            log_messages::RUNNER_ERROR,
             json!({"request": "failing", "runner": "p1", "status": 500}),
         ),
         line(
             7_130,
-            log_messages::RUN_FAILED,
+            log_messages::RUNNER_ERROR,
             json!({"request": "failing", "runner": "p2", "status": 500}),
         ),
-        line(7_131, log_messages::FAILURE_PASSED, json!({"request": "failing", "status": 500})),
+        line(7_131, log_messages::ERROR_RETURNED, json!({"request": "failing", "status": 500})),
         begun(9_000, "cut-short", false),
-        line(10_500, log_messages::SERVES, json!({"name": "n1"})),
+        line(10_500, log_messages::SERVING, json!({"name": "n1"})),
     ];
     let second = [
-        line(0, log_messages::SERVES, json!({"name": "n2"})),
+        line(0, log_messages::SERVING, json!({"name": "n2"})),
         in_force(1_000, 7),
         line(8_000, "rejected: NoKey", json!({"request": "denied", "version": 7})),
         // The clock is set back: what comes later in the file happened later all the same.
-        line(7_000, log_messages::IN_FORCE, json!({"version": 9, "revision": 9})),
+        line(7_000, log_messages::CATALOG_APPLIED, json!({"version": 9, "revision": 9})),
         line(9_500, "rejected: NoKey", json!({"request": "unknown-key", "version": 9})),
     ];
     fs::write(folder.path().join("one.log"), first.join("\n")).unwrap();
@@ -119,7 +119,7 @@
     let told: Vec<_> = events.iter().map(|e| (e["text"].as_str().unwrap(), &e["own"])).collect();
     assert!(
         told.iter()
-            .any(|(text, own)| text.starts_with(log_messages::RUNNER_GONE) && **own == false)
+            .any(|(text, own)| text.starts_with(log_messages::RUNNER_REMOVED) && **own == false)
     );
     assert!(events.iter().all(|e| e["node"] == "n1"));
     assert_eq!(told.iter().filter(|(text, _)| text.starts_with(log_messages::RUN_LOST)).count(), 1);
