--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -165,7 +165,7 @@
 }
 
 /// Returns whether a status guarantees that the request was not run and will not be run.
-pub fn is_promise(status: StatusCode) -> bool {
+pub fn guarantees_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -17,7 +17,7 @@
         log_messages::{ERROR_RETURNED, REJECTED},
         metrics::{Metrics, Outcome},
         network::Network,
-        refusal::Refusal,
+        rejection::Rejection,
         rollouts::{
             RolloutSample,
             exposure::{Bound, Exposure},
@@ -217,18 +217,18 @@
 
     /// Returns a rejection whose `Retry-After` is random, but not shorter than the time until a
     /// runner accepts requests.
-    fn not_run_rejection(&self, call: &Call) -> Refusal {
+    fn not_run_rejection(&self, call: &Call) -> Rejection {
         let wait = self.client.fleet.time_until_ready(&call.service).unwrap_or_default();
         let least = wait.max(MIN_RETRY_AFTER);
-        Refusal::NotRun { retry: rand::rng().random_range(least..least + RETRY_AFTER_JITTER) }
+        Rejection::NotRun { retry: rand::rng().random_range(least..least + RETRY_AFTER_JITTER) }
     }
 
-    fn reject(&self, call: &Call, refusal: Refusal) -> Response<ResponseBody> {
+    fn reject(&self, call: &Call, rejection: Rejection) -> Response<ResponseBody> {
         let waited = call.start.elapsed().as_millis() as u64;
-        self.metrics.count_refusal(refusal);
+        self.metrics.count_rejection(rejection);
         log::warn!(request = call.head.id.as_str(), route = call.route.name.as_str(), waited,
-            ready = self.client.fleet.ready_count(&call.service); "{REJECTED}{refusal:?}");
-        refusal.into_response(&self.client.dialect, Some(&call.head.id))
+            ready = self.client.fleet.ready_count(&call.service); "{REJECTED}{rejection:?}");
+        rejection.into_response(&self.client.dialect, Some(&call.head.id))
     }
 }
 
--- a/crates/relay/src/flow/at_most_once.rs
+++ b/crates/relay/src/flow/at_most_once.rs
@@ -8,7 +8,7 @@
         dialect::Dialect,
         network::Network,
         pool::SendError,
-        refusal::Refusal,
+        rejection::Rejection,
         runner_client::{SendOutcome, is_failure},
     },
     http::Response,
@@ -57,7 +57,7 @@
             SendOutcome::Withheld => {}
             SendOutcome::Unsent => fleet.record_failure(key, Instant::now()),
             SendOutcome::Lost(error) => {
-                if error == SendError::Broken {
+                if error == SendError::Disconnected {
                     fleet.record_failure(key, Instant::now());
                 }
                 traffic.report_sample(call, key, summarize(call, false));
@@ -70,9 +70,9 @@
 }
 
 /// Returns the rejection of a request that may have run.
-fn rejection_of(error: SendError) -> Refusal {
+fn rejection_of(error: SendError) -> Rejection {
     match error {
-        SendError::Silent => Refusal::Timeout,
-        SendError::Unsent | SendError::Broken => Refusal::Lost,
+        SendError::Timeout => Rejection::Timeout,
+        SendError::Unsent | SendError::Disconnected => Rejection::Lost,
     }
 }
--- a/crates/relay/src/flow/generation.rs
+++ b/crates/relay/src/flow/generation.rs
@@ -22,7 +22,7 @@
         metrics::{Part, Resume},
         network::Network,
         pool::SendError,
-        refusal::Refusal,
+        rejection::Rejection,
         runner_client::{SendOutcome, is_failure},
     },
     bytes::Bytes,
@@ -78,7 +78,7 @@
     /// Error response of a runner.
     Failure(Parts, Bytes),
     /// Rejection by this node.
-    Refused(Refusal),
+    Rejected(Rejection),
 }
 
 /// Outcome of one send.
@@ -107,7 +107,7 @@
             Response::from_parts(parts, body::stream(fill))
         }
         Err(FinalFailure::Failure(parts, bytes)) => Response::from_parts(parts, bytes.into()),
-        Err(FinalFailure::Refused(refusal)) => traffic.reject(&generation.call, refusal),
+        Err(FinalFailure::Rejected(rejection)) => traffic.reject(&generation.call, rejection),
     }
 }
 
@@ -134,7 +134,7 @@
         let end = self.call.deadline();
         let mut cached = if self.sends == 0 { self.find_cached().await } else { None };
         if self.sends == 0 && self.misses_deadline(cached.is_some()) {
-            return Err(FinalFailure::Refused(self.traffic.not_run_rejection(&self.call)));
+            return Err(FinalFailure::Rejected(self.traffic.not_run_rejection(&self.call)));
         }
         while self.may_send(end) {
             let next =
@@ -288,13 +288,13 @@
                 Err(RunEnd::Whole) => {
                     AttemptOutcome::Started(Box::new(StartedRun { parts, run, first: None }))
                 }
-                Err(RunEnd::Silent) => AttemptOutcome::Lost(SendError::Silent),
-                Err(_) => AttemptOutcome::Lost(SendError::Broken),
+                Err(RunEnd::Silent) => AttemptOutcome::Lost(SendError::Timeout),
+                Err(_) => AttemptOutcome::Lost(SendError::Disconnected),
             }
         };
         tokio::select! {
             tried = send => tried,
-            () = self.traffic.client.until_lost(&self.call, endpoint) => AttemptOutcome::Lost(SendError::Silent),
+            () = self.traffic.client.until_lost(&self.call, endpoint) => AttemptOutcome::Lost(SendError::Timeout),
         }
     }
 
@@ -341,9 +341,9 @@
     fn final_failure(&mut self) -> FinalFailure {
         match (self.failure.take(), self.lost) {
             (Some((parts, bytes)), _) => FinalFailure::Failure(parts, bytes),
-            (None, None) => FinalFailure::Refused(self.traffic.not_run_rejection(&self.call)),
-            (None, Some(SendError::Silent)) => FinalFailure::Refused(Refusal::Timeout),
-            (None, Some(_)) => FinalFailure::Refused(Refusal::Lost),
+            (None, None) => FinalFailure::Rejected(self.traffic.not_run_rejection(&self.call)),
+            (None, Some(SendError::Timeout)) => FinalFailure::Rejected(Rejection::Timeout),
+            (None, Some(_)) => FinalFailure::Rejected(Rejection::Lost),
         }
     }
 }
--- a/crates/relay/src/flow/idempotent.rs
+++ b/crates/relay/src/flow/idempotent.rs
@@ -9,7 +9,7 @@
         fleet::{Endpoint, RunnerKey},
         network::Network,
         pool::SendError,
-        refusal::Refusal,
+        rejection::Rejection,
         runner_client::{SendOutcome, is_failure},
     },
     bytes::Bytes,
@@ -102,8 +102,10 @@
             progress.runs += 1;
             progress.lost = Some(error);
             match error {
-                SendError::Silent => fleet.record_overload(key, Instant::now()),
-                SendError::Unsent | SendError::Broken => fleet.record_failure(key, Instant::now()),
+                SendError::Timeout => fleet.record_overload(key, Instant::now()),
+                SendError::Unsent | SendError::Disconnected => {
+                    fleet.record_failure(key, Instant::now());
+                }
             }
         }
     }
@@ -114,10 +116,10 @@
     traffic: &Traffic<D, N>,
     call: &Call,
     progress: &Progress,
-) -> Refusal {
+) -> Rejection {
     match progress.lost {
         None => traffic.not_run_rejection(call),
-        Some(SendError::Silent) => Refusal::Timeout,
-        Some(_) => Refusal::Lost,
+        Some(SendError::Timeout) => Rejection::Timeout,
+        Some(_) => Rejection::Lost,
     }
 }
--- a/crates/relay/src/handler.rs
+++ b/crates/relay/src/handler.rs
@@ -10,7 +10,7 @@
         flow::Traffic,
         log_messages::REJECTED,
         network::Network,
-        refusal::Refusal,
+        rejection::Rejection,
         view::NodeAddress,
     },
     bytes::Bytes,
@@ -71,7 +71,7 @@
         }
         let mut response = match self.admit(&parts, start) {
             Ok(admitted) => self.read_and_serve(parts, body, admitted, start).await,
-            Err((refusal, id)) => self.reject(refusal, id.as_deref()),
+            Err((rejection, id)) => self.reject(rejection, id.as_deref()),
         };
         if self.drain.is_draining() {
             let close = header::HeaderValue::from_static("close");
@@ -146,10 +146,10 @@
         response
     }
 
-    fn reject(&self, refusal: Refusal, id: Option<&str>) -> Response<ResponseBody> {
-        self.traffic.metrics.count_refusal(refusal);
-        log::warn!(request = id.unwrap_or_default(), version = self.version(); "{REJECTED}{refusal:?}");
-        refusal.into_response(self.dialect(), id)
+    fn reject(&self, rejection: Rejection, id: Option<&str>) -> Response<ResponseBody> {
+        self.traffic.metrics.count_rejection(rejection);
+        log::warn!(request = id.unwrap_or_default(), version = self.version(); "{REJECTED}{rejection:?}");
+        rejection.into_response(self.dialect(), id)
     }
 
     fn version(&self) -> u64 {
@@ -157,19 +157,23 @@
     }
 
     /// Admits a request by the current catalogue.
-    fn admit(&self, parts: &Parts, start: Instant) -> Result<Admitted, (Refusal, Option<String>)> {
+    fn admit(
+        &self,
+        parts: &Parts,
+        start: Instant,
+    ) -> Result<Admitted, (Rejection, Option<String>)> {
         let head = self.dialect().parse_request(parts).map_err(|e| (malformed(e), None))?;
         let id = || Some(head.id.to_string());
         let view = self.traffic.published.load();
         let Some(catalog) = view.catalog.clone() else {
             let retry = if view.cut_off { CUT_OFF_RETRY } else { STARTING_RETRY };
-            return Err((Refusal::NotRun { retry }, id()));
+            return Err((Rejection::NotRun { retry }, id()));
         };
         let admitted = catalog.admit(&head.host, parts.uri.path(), head.key.as_deref());
-        let (route, account) = admitted.map_err(|denied| (refusal_of(denied), id()))?;
+        let (route, account) = admitted.map_err(|denied| (rejection_of(denied), id()))?;
         let deadline = start + route.timeout;
         if route.kind.is_stream() && self.drain.outlives_grace(deadline) {
-            return Err((Refusal::NotRun { retry: DRAINING_RETRY }, id()));
+            return Err((Rejection::NotRun { retry: DRAINING_RETRY }, id()));
         }
         Ok(Admitted { head, route, account, catalog })
     }
@@ -187,14 +191,14 @@
         let body = match read.await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
-                let refusal = match error.is::<LengthLimitError>() {
-                    true => Refusal::BodySize,
-                    false => Refusal::Malformed,
+                let rejection = match error.is::<LengthLimitError>() {
+                    true => Rejection::BodySize,
+                    false => Rejection::Malformed,
                 };
-                return self.reject(refusal, Some(&head.id));
+                return self.reject(rejection, Some(&head.id));
             }
             Err(_) => {
-                return self.reject(Refusal::NotRun { retry: STARTING_RETRY }, Some(&head.id));
+                return self.reject(Rejection::NotRun { retry: STARTING_RETRY }, Some(&head.id));
             }
         };
         let path = parts.uri.path_and_query().cloned();
@@ -219,15 +223,15 @@
     node.callers
 }
 
-fn malformed(error: Malformed) -> Refusal {
+fn malformed(error: Malformed) -> Rejection {
     log::info!("malformed request: {error}");
-    Refusal::Malformed
+    Rejection::Malformed
 }
 
-fn refusal_of(denied: Denied) -> Refusal {
+fn rejection_of(denied: Denied) -> Rejection {
     match denied {
-        Denied::Route => Refusal::NoRoute,
-        Denied::Key => Refusal::NoKey,
+        Denied::Route => Rejection::NoRoute,
+        Denied::Key => Rejection::NoKey,
     }
 }
 
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod pool;
 pub mod readers;
 pub mod records;
-pub mod refusal;
+pub mod rejection;
 pub mod server;
 pub mod settings;
 pub mod fanout;
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -6,7 +6,7 @@
 
 use {
     self::volume::Volume,
-    crate::{catalog::Kind, refusal::Refusal},
+    crate::{catalog::Kind, rejection::Rejection},
     bilberryfront_decide::member::PeerMessage,
     prometheus_client::{
         encoding::{EncodeLabelSet, EncodeLabelValue, text::encode},
@@ -191,15 +191,15 @@
     }
 
     /// Counts a rejection.
-    pub fn count_refusal(&self, refusal: Refusal) {
-        let cause = match refusal {
-            Refusal::Malformed => Cause::Malformed,
-            Refusal::NoRoute => Cause::NoRoute,
-            Refusal::NoKey => Cause::NoKey,
-            Refusal::BodySize => Cause::BodySize,
-            Refusal::NotRun { .. } => Cause::NotRun,
-            Refusal::Lost => Cause::Lost,
-            Refusal::Timeout => Cause::Timeout,
+    pub fn count_rejection(&self, rejection: Rejection) {
+        let cause = match rejection {
+            Rejection::Malformed => Cause::Malformed,
+            Rejection::NoRoute => Cause::NoRoute,
+            Rejection::NoKey => Cause::NoKey,
+            Rejection::BodySize => Cause::BodySize,
+            Rejection::NotRun { .. } => Cause::NotRun,
+            Rejection::Lost => Cause::Lost,
+            Rejection::Timeout => Cause::Timeout,
         };
         self.refused.get_or_create(&CauseLabels { cause }).inc();
     }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -36,10 +36,10 @@
     Unsent,
     /// Connection error after the request was sent.
     #[error("connection closed before the response was complete")]
-    Broken,
+    Disconnected,
     /// Timeout after the request was sent.
     #[error("no response before the deadline")]
-    Silent,
+    Timeout,
 }
 
 /// HTTP/1 connection for one request at a time; dropping it closes the connection and cancels the
@@ -74,9 +74,9 @@
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => Err(match error.take_message() {
                 Some(_) => SendError::Unsent,
-                None => SendError::Broken,
+                None => SendError::Disconnected,
             }),
-            Err(_) => Err(SendError::Silent),
+            Err(_) => Err(SendError::Timeout),
         }
     }
 
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/rejection.rs
@@ -8,7 +8,7 @@
 
 /// Why a request is rejected by this node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Refusal {
+pub enum Rejection {
     /// Malformed head or body.
     Malformed,
     /// No matching route.
@@ -28,17 +28,17 @@
     Timeout,
 }
 
-impl Refusal {
+impl Rejection {
     /// Returns the HTTP status.
     pub fn status(self) -> StatusCode {
         match self {
-            Refusal::Malformed => StatusCode::BAD_REQUEST,
-            Refusal::NoRoute => StatusCode::NOT_FOUND,
-            Refusal::NoKey => StatusCode::UNAUTHORIZED,
-            Refusal::BodySize => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::NotRun { .. } => StatusCode::SERVICE_UNAVAILABLE,
-            Refusal::Lost => StatusCode::BAD_GATEWAY,
-            Refusal::Timeout => StatusCode::GATEWAY_TIMEOUT,
+            Rejection::Malformed => StatusCode::BAD_REQUEST,
+            Rejection::NoRoute => StatusCode::NOT_FOUND,
+            Rejection::NoKey => StatusCode::UNAUTHORIZED,
+            Rejection::BodySize => StatusCode::PAYLOAD_TOO_LARGE,
+            Rejection::NotRun { .. } => StatusCode::SERVICE_UNAVAILABLE,
+            Rejection::Lost => StatusCode::BAD_GATEWAY,
+            Rejection::Timeout => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
@@ -49,13 +49,13 @@
         id: Option<&str>,
     ) -> Response<ResponseBody> {
         let retry = match self {
-            Refusal::NotRun { retry } => Some(retry),
+            Rejection::NotRun { retry } => Some(retry),
             _ => None,
         };
         let mut response = Response::new(ResponseBody::empty());
         *response.status_mut() = self.status();
         *response.headers_mut() = dialect.rejection_headers(id, retry);
-        if self == Refusal::NoKey {
+        if self == Rejection::NoKey {
             // RFC 9110, 15.5.2: a 401 response contains the authentication scheme to use.
             let scheme = header::HeaderValue::from_static("Bearer");
             response.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
--- a/crates/relay/src/runner_client.rs
+++ b/crates/relay/src/runner_client.rs
@@ -142,7 +142,7 @@
             let status = parts.status.as_u16();
             log::warn!(request = call.head.id.as_str(), runner = endpoint.id.as_str(), status;
                 "connection closed: response not signed or for another request");
-            return SendOutcome::Lost(SendError::Broken);
+            return SendOutcome::Lost(SendError::Disconnected);
         }
         headers::strip(&mut parts.headers);
         self.fleet.record_response(endpoint.key, Instant::now());
@@ -187,8 +187,8 @@
                 self.fleet.return_connection(endpoint.key, connection, head.idle);
                 return Ok((parts, bytes));
             }
-            Ok(Err(_)) => SendError::Broken,
-            Err(_) => SendError::Silent,
+            Ok(Err(_)) => SendError::Disconnected,
+            Err(_) => SendError::Timeout,
         };
         log::warn!(request, runner; "{RESPONSE_LOST}{error}, while reading the body");
         Err(error)
