--- a/crates/decide/examples/gossip.rs
+++ b/crates/decide/examples/gossip.rs
@@ -1,6 +1,7 @@
-//! Measures membership through its pure core: members in one process, messages handed over by
-//! function calls at each step of 50 ms of a virtual clock. Prints the seconds until all list all,
-//! have a new catalogue, and have dropped a lost node and a lost ninth; bytes in and out; CPU time.
+//! Measures membership by simulation: all members run in one process and exchange messages by function
+//! calls, in steps of 50 ms of virtual time. Prints the seconds until all nodes know all others, have
+//! a new catalogue revision, and have removed one lost node and a lost failure domain (a ninth of the
+//! nodes); the bytes sent and received; and the CPU time.
 //!
 //! `cargo run --release -p bilberryfront-decide --example gossip`
 
@@ -20,12 +21,14 @@
     tokio::time::Instant,
 };
 
-/// What a message costs besides its postcard form, in bytes: 13 for version, class and the sender's
-/// name, 40 of QUIC, 28 of UDP and IP, and 63 for the acknowledgement in a datagram of its own.
-const OVERHEAD: usize = 13 + 40 + 28 + 63;
+/// Bytes per message in addition to its postcard encoding: 13 for version, class and the sender's
+/// name, 40 for QUIC, 28 for UDP and IP, and 63 for the acknowledgement in a separate datagram.
+const OVERHEAD_BYTES: usize = 13 + 40 + 28 + 63;
 
-/// Names are this and the index.
+/// Prefix of node names, followed by the index.
 const PREFIX: &str = "entry-";
+
+/// A simulated network of members.
 struct Bench {
     now: Instant,
     members: Vec<Option<Members>>,
@@ -60,6 +63,7 @@
         Bench { now, members, inbox, bytes: 0, cpu: Duration::ZERO, loss, rng }
     }
 
+    /// Advances the time by one tick.
     fn step(&mut self) {
         self.now += TICK;
         for (from, to, message) in std::mem::take(&mut self.inbox) {
@@ -74,6 +78,7 @@
         }
     }
 
+    /// Runs a function on one member and handles its outputs.
     fn run(&mut self, i: usize, act: impl FnOnce(&mut Members, Instant, &mut Vec<Output>)) {
         let Some(member) = &mut self.members[i] else { return };
         let mut out = Vec::new();
@@ -91,17 +96,19 @@
         }
     }
 
-    /// Only heartbeats, which go by datagram, are lost; streams repeat what was lost.
+    /// Sends a message. Only heartbeats can be lost: they are sent as datagrams, while all others are
+    /// sent on streams, which retransmit.
     fn post(&mut self, from: usize, to: &str, message: &PeerMessage) {
-        self.bytes += OVERHEAD + postcard::to_stdvec(message).expect("messages encode").len();
+        self.bytes +=
+            OVERHEAD_BYTES + postcard::to_stdvec(message).expect("messages can be encoded").len();
         if !(matches!(message, PeerMessage::Heartbeat(_)) && self.rng.random_bool(self.loss)) {
             let to = to[PREFIX.len()..].parse().expect("names end in the index");
             self.inbox.push((from, to, message.clone()));
         }
     }
 
-    /// Steps until `done` holds for all; the seconds that took, not a number after two minutes.
-    fn until(&mut self, done: impl Fn(&Members) -> bool) -> f64 {
+    /// Runs until `done` is true for all members; returns the seconds, or NaN after two minutes.
+    fn run_until(&mut self, done: impl Fn(&Members) -> bool) -> f64 {
         let start = self.now;
         while !self.members.iter().flatten().all(&done) {
             self.step();
@@ -120,7 +127,7 @@
             "domain": "east-mids-{}", "state": "live", "peer": "10.1.{high}.{low}:7000"}}"#,
         i % 9
     );
-    serde_json::from_str(&json).expect("the form of the list's entries")
+    serde_json::from_str(&json).expect("the instance is valid")
 }
 
 fn push() -> PeerMessage {
@@ -135,19 +142,20 @@
     println!("nodes loss start_s revision_s one_lost_s domain_lost_s B/s/node ns/s/node");
     for (n, loss) in [6, 100, 300, 1_100].into_iter().flat_map(|n| [(n, 0.0), (n, 0.1)]) {
         let mut bench = Bench::new(n, loss);
-        let start = bench.until(|m| m.addresses().len() == n);
+        let start = bench.run_until(|m| m.addresses().len() == n);
         (0..400).for_each(|_| bench.step());
         (bench.bytes, bench.cpu) = (0, Duration::ZERO);
         (0..1_200).for_each(|_| bench.step());
-        let share = n as f64 * 60.0;
-        let (bytes, cpu) = (2.0 * bench.bytes as f64 / share, bench.cpu.as_nanos() as f64 / share);
+        let node_seconds = n as f64 * 60.0;
+        let (bytes, cpu) =
+            (2.0 * bench.bytes as f64 / node_seconds, bench.cpu.as_nanos() as f64 / node_seconds);
         bench.run(0, |m, _, out| m.set_revision(2, out));
-        let revision = bench.until(|m| m.revision() == 2);
+        let revision = bench.run_until(|m| m.revision() == 2);
         bench.members[1] = None;
-        let one = bench.until(|m| m.addresses().len() == n - 1);
+        let one = bench.run_until(|m| m.addresses().len() == n - 1);
         (0..n).filter(|i| i % 9 == 2).for_each(|i| bench.members[i] = None);
-        let left = bench.members.iter().flatten().count();
-        let domain = bench.until(|m| m.addresses().len() == left);
+        let remaining = bench.members.iter().flatten().count();
+        let domain = bench.run_until(|m| m.addresses().len() == remaining);
         print!("{n:5} {loss:4.1} {start:7.2} {revision:10.2} {one:10.2} {domain:13.2}");
         println!(" {bytes:8.0} {cpu:9.0}");
     }
--- a/crates/decide/examples/moves.rs
+++ b/crates/decide/examples/moves.rs
@@ -1,7 +1,7 @@
-//! Measures version moves: many fixed seeds through six movers, beside a fixed ramp.
+//! Measures version moves by simulation of six movers with many seeds, compared with a fixed ramp.
 //!
 //! `cargo run --release -p bilberryfront-decide --example moves -- [SEEDS] [FIRST_SEED] [weights]`;
-//! with `weights`, other weights than the deployments' own are shown too.
+//! with `weights`, the simulation also runs with other weights than the deployments' own.
 
 #[path = "../tests/mover/fake.rs"]
 #[expect(dead_code, reason = "shared with the tests, which use all of it")]
@@ -18,25 +18,25 @@
     std::thread,
 };
 
-/// Threads used; the machine may be shared.
+/// Number of threads; limited because the machine may be shared.
 const THREADS: u64 = 4;
 
 fn main() {
     let number = |at: usize| std::env::args().nth(at).and_then(|a| a.parse::<u64>().ok());
     let seeds = number(1).unwrap_or(200);
     let first = number(2).unwrap_or(0);
-    let shown = if std::env::args().any(|a| a == "weights") { 4 } else { 1 };
-    println!("seeds {first}..{} a row", first + seeds);
-    table::head();
+    let weighings = if std::env::args().any(|a| a == "weights") { 4 } else { 1 };
+    println!("seeds {first}..{} per row", first + seeds);
+    table::print_header();
     for site in &SITES {
-        for weighing in &Weighing::CHOSEN[..shown] {
-            rows(site, *weighing, first..first + seeds, load::run);
+        for weighing in &Weighing::MOVER[..weighings] {
+            print_rows(site, *weighing, first..first + seeds, load::run);
         }
-        rows(site, Weighing::Naive, first..first + seeds, naive::run);
+        print_rows(site, Weighing::Naive, first..first + seeds, naive::run);
     }
 }
 
-fn rows(
+fn print_rows(
     site: &'static load::Site,
     weighing: Weighing,
     seeds: std::ops::Range<u64>,
@@ -44,8 +44,9 @@
 ) {
     for kind in Kind::ALL {
         let worker = |part: u64| {
-            let mine = seeds.clone().filter(move |s| s % THREADS == part);
-            mine.map(|seed| (seed, run(&Scene::new(site, weighing, kind, seed))))
+            let own_seeds = seeds.clone().filter(move |s| s % THREADS == part);
+            own_seeds
+                .map(|seed| (seed, run(&Scene::new(site, weighing, kind, seed))))
                 .collect::<Vec<_>>()
         };
         let mut outcomes: Vec<(u64, table::Outcome)> = thread::scope(|scope| {
@@ -54,6 +55,6 @@
         });
         outcomes.sort_by_key(|(seed, _)| *seed);
         let outcomes: Vec<_> = outcomes.into_iter().map(|(_, o)| o).collect();
-        table::row(site.name, weighing, kind, &outcomes);
+        table::print_row(site.name, weighing, kind, &outcomes);
     }
 }
--- a/crates/decide/examples/moves/load.rs
+++ b/crates/decide/examples/moves/load.rs
@@ -1,4 +1,4 @@
-//! Requests of one deployment, some of them served by a bad version.
+//! Simulated requests of a deployment, some of which are served by a bad version.
 
 use {
     crate::{
@@ -10,10 +10,13 @@
     std::time::Duration,
 };
 
-/// A deployment as the brief sizes it; the rates are assumed, well below what its runners can do.
+/// A deployment of a size that the requirements give. The request rates are assumptions, well below
+/// the capacity of its runners.
 pub(crate) struct Site {
     pub(crate) name: &'static str,
+    /// Requests per second.
     pub(crate) rate: f64,
+    /// Seconds until the deadline of a move.
     pub(crate) time: f64,
     pub(crate) runners: u64,
     pub(crate) weights: Weights,
@@ -36,10 +39,12 @@
     },
 ];
 
+/// Routes and their fractions of the requests.
 const ROUTES: [(&str, f64); 3] =
     [("interactive/small", 0.6), ("interactive/large", 0.3), ("batch", 0.1)];
 const STEP: Duration = Duration::from_millis(100);
 
+/// Weights of the moves, or the fixed ramp. The names are printed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Weighing {
     Site,
@@ -50,11 +55,12 @@
 }
 
 impl Weighing {
-    pub(crate) const CHOSEN: [Weighing; 4] =
+    /// All weights of the mover.
+    pub(crate) const MOVER: [Weighing; 4] =
         [Weighing::Site, Weighing::OnTime, Weighing::TakeBack, Weighing::Thrift];
 }
 
-/// In which way the new version is bad.
+/// Fault of the new version. The names are printed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Kind {
     Good,
@@ -69,24 +75,31 @@
         [Kind::Good, Kind::AtOnce, Kind::Later, Kind::Load, Kind::Route];
 }
 
-/// One run: everything random in it follows from the seed.
+/// Parameters of one run, which is deterministic for its seed.
 pub(crate) struct Scene {
     pub(crate) site: &'static Site,
     pub(crate) kind: Kind,
     pub(crate) seed: u64,
     pub(crate) weights: Weights,
+    /// Probability that a request fails on the bad version.
     fail: f64,
+    /// Factors of the bad version on the time to the first token and the time between tokens.
     slow: [f64; 2],
+    /// Time in seconds from which the version is bad, for [`Kind::Later`].
     onset: f64,
+    /// Route that the version is bad on, for [`Kind::Route`].
     route: usize,
 }
 
-/// A request on its way: version, route and outcome are drawn when it starts.
+/// A request in progress; its route and outcome are drawn when it starts. Times are in seconds.
 pub(crate) struct Request {
     pub(crate) end: f64,
+    /// Whether it is served by the bad version and affected by its fault.
     pub(crate) bad: bool,
     pub(crate) ok: bool,
+    /// Time to the first token.
     pub(crate) first: f64,
+    /// Time between tokens.
     pub(crate) pace: f64,
     pub(crate) route: usize,
     pub(crate) account: u64,
@@ -95,7 +108,7 @@
 impl Scene {
     pub(crate) fn new(site: &'static Site, weighing: Weighing, kind: Kind, seed: u64) -> Scene {
         let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
-        let one = |on_time, take_back, extra_use| Weights { on_time, take_back, extra_use };
+        let weights = |on_time, take_back, extra_use| Weights { on_time, take_back, extra_use };
         let (fail, slow) = match seed % 3 {
             0 => (rng.random_range(0.2..1.0), [1.0, 1.0]),
             1 => (0.0, [rng.random_range(2.5..5.0), 1.0]),
@@ -107,9 +120,9 @@
             seed,
             weights: match weighing {
                 Weighing::Site | Weighing::Naive => site.weights,
-                Weighing::OnTime => one(1.0, 0.0, 0.0),
-                Weighing::TakeBack => one(0.0, 1.0, 0.0),
-                Weighing::Thrift => one(0.0, 0.1, 1.0),
+                Weighing::OnTime => weights(1.0, 0.0, 0.0),
+                Weighing::TakeBack => weights(0.0, 1.0, 0.0),
+                Weighing::Thrift => weights(0.0, 0.1, 1.0),
             },
             fail,
             slow,
@@ -118,7 +131,7 @@
         }
     }
 
-    /// Draws a request that starts at `at`, served by the new version or not.
+    /// Draws a request that starts at `at`; `new` is set if the new version serves it.
     pub(crate) fn request(&self, rng: &mut SmallRng, at: f64, new: bool, share: f64) -> Request {
         let route = *[0, 1, 2].choose_weighted(rng, |r: &usize| ROUTES[*r].1).expect("weights");
         let bad = new
@@ -129,38 +142,40 @@
                 Kind::Load => share >= 0.4,
                 Kind::Route => route == self.route,
             };
-        let mut around = |middle: f64, spread: f64| {
+        let mut log_normal = |median: f64, deviation: f64| {
             let normal = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
-            middle * (normal * spread).exp()
+            median * (normal * deviation).exp()
         };
         let slow = if bad { self.slow } else { [1.0, 1.0] };
-        let first = around(0.3 + 0.2 * route as f64, 0.4) * slow[0];
-        let pace = around(0.02, 0.2) * slow[1];
+        let first = log_normal(0.3 + 0.2 * route as f64, 0.4) * slow[0];
+        let pace = log_normal(0.02, 0.2) * slow[1];
         let ok = !rng.random_bool(if bad { self.fail.max(0.005) } else { 0.005 });
         let tokens = if ok { rng.random_range(50.0..400.0) } else { 0.0 };
         let account = [0, 0, 0, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9][rng.random_range(0..13)];
         Request { end: at + first + pace * tokens, bad, ok, first, pace, route, account }
     }
 
-    /// How many requests start in a span.
+    /// Draws the number of requests that start within `span` seconds.
     pub(crate) fn arrivals(&self, rng: &mut SmallRng, span: f64) -> usize {
-        let parts = 8;
-        (0..parts).filter(|_| rng.random_bool(self.site.rate * span / f64::from(parts))).count()
+        let trials = 8;
+        (0..trials).filter(|_| rng.random_bool(self.site.rate * span / f64::from(trials))).count()
     }
 }
 
-/// Runs a move over six movers, with a store outage, a paused_until node or lost answers in some seeds.
+/// Runs a move with six movers. Some seeds include an outage of the table, a paused node or lost
+/// responses.
 pub(crate) fn run(scene: &Scene) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(scene.seed);
     let mut world = World::new(scene.seed, STEP);
     let mut outcome = Outcome::new(scene);
-    let mut open: Vec<(usize, Choice, Request)> = Vec::new();
+    let mut in_progress: Vec<(usize, Choice, Request)> = Vec::new();
+    // Time of the first verdict at any node.
     let mut verdict = None;
-    let warm = 125.0;
-    let outage =
-        (scene.seed.is_multiple_of(5)).then(|| warm + scene.site.time * rng.random_range(0.1..0.8));
-    let pause =
-        (scene.seed.is_multiple_of(7)).then(|| warm + scene.site.time * rng.random_range(0.1..0.8));
+    let warm_up = 125.0;
+    let outage = (scene.seed.is_multiple_of(5))
+        .then(|| warm_up + scene.site.time * rng.random_range(0.1..0.8));
+    let pause = (scene.seed.is_multiple_of(7))
+        .then(|| warm_up + scene.site.time * rng.random_range(0.1..0.8));
     world.response_loss = if scene.seed.is_multiple_of(2) { 0.02 } else { 0.0 };
     let mut id: Option<MoveId> = None;
     loop {
@@ -172,13 +187,13 @@
             let holder = (0..NODES).find(|n| world.movers[*n].fence(world.now, ENTRY).is_some());
             world.paused_until[holder.unwrap_or(0)] = world.now + Duration::from_secs(20);
         }
-        if id.is_none() && at >= warm {
+        if id.is_none() && at >= warm_up {
             let time = Duration::from_secs_f64(scene.site.time);
             let start = world.start_request("v2", time, scene.weights, false);
             match world.movers[0].start(world.now, &start) {
                 Ok(started) => id = Some(started),
                 Err(_) => {
-                    outcome.refused = true;
+                    outcome.is_rejected = true;
                     return outcome;
                 }
             }
@@ -190,13 +205,14 @@
             }
             let split = world.split(node);
             let choice = split.map_or(Choice::default(), |s| s.choose(world.now, rng.random()));
-            let mean = (0..NODES).map(|n| f64::from(world.share(n))).sum::<f64>() / 6e4;
-            let request = scene.request(&mut rng, at - warm, choice.new, mean);
-            outcome.sent(&request, choice.new, at, verdict);
-            open.push((node, choice, request));
+            let mean_share = (0..NODES).map(|n| f64::from(world.share(n))).sum::<f64>() / 6e4;
+            let request = scene.request(&mut rng, at - warm_up, choice.new, mean_share);
+            outcome.record(&request, choice.new, at, verdict);
+            in_progress.push((node, choice, request));
         }
         let now = world.now;
-        for (node, choice, request) in open.extract_if(.., |(_, _, r)| r.end <= at - warm) {
+        for (node, choice, request) in in_progress.extract_if(.., |(_, _, r)| r.end <= at - warm_up)
+        {
             let sample = Sample {
                 choice,
                 route: ROUTES[request.route].0,
@@ -208,20 +224,21 @@
             };
             world.movers[node].observe(now, ENTRY, &sample);
         }
-        let known = (0..NODES).filter_map(|n| world.movers[n].status(now, ENTRY));
-        let taken = known.filter_map(|s| s.standing.verdict().map(|v| v.cause)).next();
-        if let (Some(cause), None) = (taken, verdict) {
+        let statuses = (0..NODES).filter_map(|n| world.movers[n].status(now, ENTRY));
+        let found = statuses.filter_map(|s| s.standing.verdict().map(|v| v.cause)).next();
+        if let (Some(cause), None) = (found, verdict) {
             verdict = Some(at);
             outcome.cause = Some(cause);
         }
         let standing = world.standing();
-        let left = scene.site.time + warm - at;
-        if outcome.done.is_none() && matches!(standing, Some(Standing::Settled | Standing::Adopted))
+        let left = scene.site.time + warm_up - at;
+        if outcome.settled_at.is_none()
+            && matches!(standing, Some(Standing::Settled | Standing::Adopted))
         {
-            outcome.done = Some(at - warm);
+            outcome.settled_at = Some(at - warm_up);
         }
-        if outcome.done.is_some() || verdict.is_some_and(|v| at > v + 6.0) || left < -60.0 {
-            outcome.taken = verdict.map(|v| v - warm);
+        if outcome.settled_at.is_some() || verdict.is_some_and(|v| at > v + 6.0) || left < -60.0 {
+            outcome.rolled_back_at = verdict.map(|v| v - warm_up);
             return outcome;
         }
     }
--- a/crates/decide/examples/moves/naive.rs
+++ b/crates/decide/examples/moves/naive.rs
@@ -1,4 +1,5 @@
-//! The fixed ramp: four equal steps, and a look at the totals every half minute.
+//! The fixed ramp, for comparison: four steps of equal duration, with a check of the totals every
+//! 30 s.
 
 use {
     crate::{
@@ -9,8 +10,8 @@
 };
 
 const SHARES: [f64; 4] = [0.1, 0.25, 0.5, 1.0];
-const LOOK: f64 = 30.0;
-const STEP: f64 = 0.1;
+const CHECK_INTERVAL_S: f64 = 30.0;
+const STEP_S: f64 = 0.1;
 
 #[derive(Default)]
 struct Totals {
@@ -28,7 +29,8 @@
         self.pace += request.pace;
     }
 
-    /// More than 5% failures, or latencies twice the old version's mean.
+    /// Returns whether more than 5% of the requests fail, or a mean latency is more than twice the old
+    /// version's.
     fn is_worse(&self, old: &Totals) -> bool {
         let mean = |t: &Totals| [t.first / t.ended, t.pace / t.ended];
         let slow = mean(self).into_iter().zip(mean(old)).any(|(new, old)| new > 2.0 * old);
@@ -36,34 +38,34 @@
     }
 }
 
-/// Runs the fixed ramp over the same kind of requests.
+/// Runs the fixed ramp with the same kind of requests.
 pub(crate) fn run(scene: &Scene) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(scene.seed);
     let mut outcome = Outcome::new(scene);
     let mut totals = [Totals::default(), Totals::default()];
-    let mut open: Vec<(bool, Request)> = Vec::new();
-    let mut look = LOOK;
+    let mut in_progress: Vec<(bool, Request)> = Vec::new();
+    let mut next_check = CHECK_INTERVAL_S;
     for tick in 0.. {
-        let at = f64::from(tick) * STEP;
+        let at = f64::from(tick) * STEP_S;
         let step = (at / (scene.site.time * 0.24)) as usize;
         let Some(share) = SHARES.get(step) else { break };
-        for _ in 0..scene.arrivals(&mut rng, STEP) {
+        for _ in 0..scene.arrivals(&mut rng, STEP_S) {
             let new = rng.random_bool(*share);
             let request = scene.request(&mut rng, at, new, *share);
-            outcome.sent(&request, new, at, None);
-            open.push((new, request));
+            outcome.record(&request, new, at, None);
+            in_progress.push((new, request));
         }
-        for (new, request) in open.extract_if(.., |(_, r)| r.end <= at) {
+        for (new, request) in in_progress.extract_if(.., |(_, r)| r.end <= at) {
             totals[usize::from(new)].add(&request);
         }
-        if at >= look {
-            look += LOOK;
+        if at >= next_check {
+            next_check += CHECK_INTERVAL_S;
             if totals[1].is_worse(&totals[0]) {
-                outcome.taken = Some(at);
+                outcome.rolled_back_at = Some(at);
                 return outcome;
             }
         }
     }
-    outcome.done = Some(scene.site.time * 0.96);
+    outcome.settled_at = Some(scene.site.time * 0.96);
     outcome
 }
--- a/crates/decide/examples/moves/table.rs
+++ b/crates/decide/examples/moves/table.rs
@@ -1,29 +1,32 @@
-//! Outcomes of runs, and the table that is printed.
+//! Outcomes of runs and their printed table.
 
 use {
     crate::load::{Kind, Request, Scene, Weighing},
     bilberryfront_decide::mover::Cause,
 };
 
-/// What came of one run; times in seconds.
+/// Outcome of one run. Times are in seconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    /// Refused at once as too late.
-    pub(crate) refused: bool,
-    /// When it was settled, from its start.
-    pub(crate) done: Option<f64>,
-    /// When it was taken back.
-    pub(crate) taken: Option<f64>,
+    /// Whether the start was rejected because the deadline was too close.
+    pub(crate) is_rejected: bool,
+    /// Time from the start until the move settled.
+    pub(crate) settled_at: Option<f64>,
+    /// Time from the start until the move was rolled back.
+    pub(crate) rolled_back_at: Option<f64>,
     pub(crate) cause: Option<Cause>,
-    /// Requests that met the badness, and those of the whole time until the deadline.
-    pub(crate) touched: u32,
+    /// Number of bad requests.
+    pub(crate) bad: u32,
+    /// Expected number of requests until the deadline.
     pub(crate) all: f64,
+    /// Time until the deadline.
     pub(crate) time: f64,
+    /// Accounts with bad requests, as a bit set.
     accounts: u32,
     first_bad: Option<f64>,
     last_bad: f64,
-    /// Last request given to the new version after the first verdict anywhere.
-    late: f64,
+    /// Time from the first verdict at any node to the last request sent to the new version.
+    last_late: f64,
 }
 
 impl Outcome {
@@ -32,13 +35,13 @@
         Outcome { all, time: scene.site.time, ..Outcome::default() }
     }
 
-    /// A request was sent.
-    pub(crate) fn sent(&mut self, request: &Request, new: bool, at: f64, verdict: Option<f64>) {
+    /// Records a request that was sent.
+    pub(crate) fn record(&mut self, request: &Request, new: bool, at: f64, verdict: Option<f64>) {
         if let (true, Some(verdict)) = (new, verdict) {
-            self.late = self.late.max(at - verdict);
+            self.last_late = self.last_late.max(at - verdict);
         }
         if request.bad {
-            self.touched += 1;
+            self.bad += 1;
             self.accounts |= 1 << request.account;
             self.first_bad.get_or_insert(at);
             self.last_bad = at;
@@ -46,7 +49,7 @@
     }
 }
 
-pub(crate) fn head() {
+pub(crate) fn print_header() {
     println!(
         "{:<10} {:<9} {:<7} {:>8} {:>7} {:>7} {:>7} {:>8} {:>8} {:>9} {:>9} {:>6} {:>9}",
         "site",
@@ -81,10 +84,11 @@
     );
 }
 
-/// Prints one row. `missed`: bad requests served and yet settled; `no bad seen`: settled before any.
-pub(crate) fn row(site: &str, weighing: Weighing, kind: Kind, outcomes: &[Outcome]) {
+/// Prints one row. `missed` are runs that settled although requests were bad; `no bad seen` are runs
+/// that settled before any bad request.
+pub(crate) fn print_row(site: &str, weighing: Weighing, kind: Kind, outcomes: &[Outcome]) {
     let runs = outcomes.len() as f64;
-    let part = |of: &dyn Fn(&Outcome) -> bool| {
+    let percent = |of: &dyn Fn(&Outcome) -> bool| {
         100.0 * outcomes.iter().filter(|o| of(o)).count() as f64 / runs
     };
     let mean = |of: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / runs;
@@ -93,30 +97,30 @@
         all.sort_by(f64::total_cmp);
         all[(all.len() * 95 / 100).min(all.len() - 1)]
     };
-    let touched = |o: &Outcome| 100.0 * f64::from(o.touched) / o.all;
-    let span = |o: &Outcome| o.first_bad.map_or(0.0, |f| o.last_bad - f);
+    let bad_percent = |o: &Outcome| 100.0 * f64::from(o.bad) / o.all;
+    let bad_span = |o: &Outcome| o.first_bad.map_or(0.0, |f| o.last_bad - f);
     println!(
         "{site:<10} {:<9} {:<7} {:>8.1} {:>7.1} {:>7.1} {:>7.1} {:>8.2} {:>8.2} {:>9.1} {:>9.0} {:>6.1} {:>9.0}",
         format!("{weighing:?}"),
         format!("{kind:?}"),
-        part(&|o| o.done.is_some_and(|d| d <= o.time)),
-        part(&|o| o.taken.is_some()),
-        part(&|o| o.done.is_some() && o.touched > 0),
-        part(&|o| o.done.is_some() && o.touched == 0),
-        mean(&touched),
-        p95(&touched),
+        percent(&|o| o.settled_at.is_some_and(|d| d <= o.time)),
+        percent(&|o| o.rolled_back_at.is_some()),
+        percent(&|o| o.settled_at.is_some() && o.bad > 0),
+        percent(&|o| o.settled_at.is_some() && o.bad == 0),
+        mean(&bad_percent),
+        p95(&bad_percent),
         mean(&|o| f64::from(o.accounts.count_ones())),
-        p95(&span),
-        outcomes.iter().map(|o| o.late).fold(0.0, f64::max),
-        mean(&|o| o.done.or(o.taken).unwrap_or(o.time)),
+        p95(&bad_span),
+        outcomes.iter().map(|o| o.last_late).fold(0.0, f64::max),
+        mean(&|o| o.settled_at.or(o.rolled_back_at).unwrap_or(o.time)),
     );
     let causes = |c: Cause| outcomes.iter().filter(|o| o.cause == Some(c)).count();
     if kind == Kind::Good && weighing != Weighing::Naive {
         let evidence = causes(Cause::Failing) + causes(Cause::SlowFirst) + causes(Cause::SlowPace);
-        let refused = outcomes.iter().filter(|o| o.refused).count();
+        let rejected = outcomes.iter().filter(|o| o.is_rejected).count();
         let late = causes(Cause::Deadline);
         println!(
-            "{:>20} good: {evidence} false alarms, {late} at the deadline, {refused} refused",
+            "{:>20} good: {evidence} false alarms, {late} at the deadline, {rejected} rejected",
             ""
         );
     }
