--- a/crates/scenarios/src/node.rs
+++ b/crates/scenarios/src/node.rs
@@ -129,7 +129,7 @@
             NodeAct::Pause if self.gate.life() == Life::Running => self.gate.set(Life::Paused),
             NodeAct::Wake if self.gate.life() == Life::Paused => self.gate.set(Life::Running),
             NodeAct::Pause | NodeAct::Wake => {}
-            NodeAct::Leave => _ = self.leaving.wanted.send_replace(true),
+            NodeAct::Leave => _ = self.leaving.requested.send_replace(true),
             NodeAct::CutOff => self.link.cut.store(true, SeqCst),
             NodeAct::Rejoin => self.link.cut.store(false, SeqCst),
         }
@@ -142,7 +142,7 @@
 
     /// Whether its process has exited after leaving.
     pub(crate) fn gone(&self) -> bool {
-        *self.leaving.gone.borrow()
+        *self.leaving.completed.borrow()
     }
 
     /// Spawns a task of this node.
@@ -157,7 +157,7 @@
     loop {
         let reached = wire.net.joins(&wire.name, PLATFORM);
         if let Some(list) = wire.fleet.lagged().filter(|_| reached) {
-            control.tell(Event::Instances(list.clone()));
+            control.send(Event::Instances(list.clone()));
             lists.send_replace(Some(list));
         }
         sleep(LIST_EVERY).await;
@@ -167,7 +167,7 @@
 async fn poll_loads(control: Control, wire: Wire) {
     loop {
         for (runner, instance) in &control.view().runners {
-            control.tell(match wire.load(&instance.url) {
+            control.send(match wire.load(&instance.url) {
                 Some(report) => Event::Load { runner: *runner, report },
                 None => Event::LoadMissing { runner: *runner },
             });
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        control::Asked,
+        control::NodeHandle,
         message::{MoveReport, MoveState, MoveVerdict},
     },
     bilberryfront_decide::{
@@ -13,13 +13,14 @@
     jiff::Timestamp,
 };
 
-/// A move's id as operators see it. Not a number: JSON readers round numbers of 64 bits.
+/// Formats the id of a move for operators. A JSON number would not do: many JSON parsers round 64-bit
+/// numbers.
 pub(super) fn id(id: MoveId) -> CompactString {
     format_compact!("{:016x}", id.0)
 }
 
-/// The report of a node that was asked.
-pub(super) fn report(asked: &Asked, status: Status) -> MoveReport {
+/// Returns the report of a move by the responding node.
+pub(super) fn report(handle: &NodeHandle, status: Status) -> MoveReport {
     let step = match status.standing {
         Standing::Moving(step) => Some(step + 1),
         _ => None,
@@ -35,13 +36,13 @@
         state: state(&status.standing),
         step,
         steps: moved.steps.len(),
-        verdict: status.standing.verdict().map(|v| verdict(asked, v)),
+        verdict: status.standing.verdict().map(|v| verdict(handle, v)),
         entry: moved.entry,
         from: moved.from,
         to: moved.to,
         share: status.share,
         here: status.here,
-        holder: status.holder.and_then(|h| asked.name_of(h)),
+        holder: status.holder.and_then(|h| handle.name_of(h)),
         waiting: status.waiting,
         next: status.next,
         routes: status.routes,
@@ -57,14 +58,14 @@
     }
 }
 
-fn verdict(asked: &Asked, verdict: &Verdict) -> MoveVerdict {
+fn verdict(handle: &NodeHandle, verdict: &Verdict) -> MoveVerdict {
     let Verdict { cause, ref route, node } = *verdict;
-    let gone = |Incarnation(life)| format_compact!("a former node ({life:016x})");
-    let node = asked.name_of(node).unwrap_or_else(|| gone(node));
+    let unknown = |Incarnation(id)| format_compact!("a former node ({id:016x})");
+    let node = handle.name_of(node).unwrap_or_else(|| unknown(node));
     MoveVerdict { cause, route: route.clone(), node }
 }
 
-/// A row's time; one beyond the calendar is shown as its end.
+/// Converts the time of a row; a time after the last representable one is replaced by that.
 fn time(millis: Millis) -> Timestamp {
     let millis = i64::try_from(millis).unwrap_or(i64::MAX);
     Timestamp::from_millisecond(millis).unwrap_or(Timestamp::MAX)
