--- a/crates/decide/examples/gossip.rs
+++ b/crates/decide/examples/gossip.rs
@@ -1,7 +1,7 @@
-//! Measures membership by simulation: all members run in one process and exchange messages by function
-//! calls, in steps of 50 ms of virtual time. Prints the seconds until all nodes know all others, have
-//! a new catalogue revision, and have removed one lost node and a lost failure domain (a ninth of the
-//! nodes); the bytes sent and received; and the CPU time.
+//! Measures membership by simulation: all members run in one process and exchange messages by
+//! function calls, in steps of 50 ms of virtual time. Prints the seconds until all nodes know all
+//! others, have a new catalogue revision, and have removed one lost node and a lost failure domain
+//! (a ninth of the nodes); the bytes sent and received; and the CPU time.
 //!
 //! `cargo run --release -p bilberryfront-decide --example gossip`
 
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Sends a message. Only heartbeats can be lost: they are sent as datagrams, while all others are
-    /// sent on streams, which retransmit.
+    /// Sends a message. Only heartbeats can be lost: they are sent as datagrams, while all others
+    /// are sent on streams, which retransmit.
     fn post(&mut self, from: usize, to: &str, message: &PeerMessage) {
         self.bytes +=
             OVERHEAD_BYTES + postcard::to_stdvec(message).expect("messages can be encoded").len();
--- a/crates/decide/examples/moves/naive.rs
+++ b/crates/decide/examples/moves/naive.rs
@@ -29,8 +29,8 @@
         self.pace += request.pace;
     }
 
-    /// Returns whether more than 5% of the requests fail, or a mean latency is more than twice the old
-    /// version's.
+    /// Returns whether more than 5% of the requests fail, or a mean latency is more than twice the
+    /// old version's.
     fn is_worse(&self, old: &Totals) -> bool {
         let mean = |t: &Totals| [t.first / t.ended, t.pace / t.ended];
         let slow = mean(self).into_iter().zip(mean(old)).any(|(new, old)| new > 2.0 * old);
--- a/crates/decide/examples/moves/table.rs
+++ b/crates/decide/examples/moves/table.rs
@@ -84,8 +84,8 @@
     );
 }
 
-/// Prints one row. `missed` are runs that settled although requests were bad; `no bad seen` are runs
-/// that settled before any bad request.
+/// Prints one row. `missed` are runs that settled although requests were bad; `no bad seen` are
+/// runs that settled before any bad request.
 pub(crate) fn print_row(site: &str, weighing: Weighing, kind: Kind, outcomes: &[Outcome]) {
     let runs = outcomes.len() as f64;
     let percent = |of: &dyn Fn(&Outcome) -> bool| {
--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -42,13 +42,13 @@
 /// Heartbeat interval on rings.
 pub const RING_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence after which a watched node becomes suspect.
-pub const SILENCE: Duration = Duration::from_secs(2);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which a suspect is removed from address responses, unless the suspicion is refuted.
-pub const CONFIRM: Duration = Duration::from_millis(1_000);
+pub const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time for which other nodes may refute a suspicion before it is gossiped.
-pub const ANSWER: Duration = Duration::from_millis(300);
+pub const REFUTE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Retention of unlisted dead nodes, so that stale gossip cannot revive them.
-pub const TOMBSTONE: Duration = Duration::from_secs(600);
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 /// Maximum number of known nodes.
 pub const MAX_MEMBERS: usize = 2_048;
 
@@ -221,8 +221,8 @@
         let name = CompactString::from(from);
         let Some(record) = self.record(now, &name) else { return };
         if heartbeat.moment.life < record.moment.life {
-            // An older incarnation, or a restart with a clock that was set back. In the latter case,
-            // the reply makes the node raise its epoch; without it, the node would be ignored
+            // An older incarnation, or a restart with a clock that was set back. In the latter
+            // case, the reply makes the node raise its epoch; without it, the node would be ignored
             // permanently.
             let claim = record.claim(&name, false);
             self.send(from, PeerMessage::Claims(vec![claim]), out);
--- a/crates/decide/src/member/merge.rs
+++ b/crates/decide/src/member/merge.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        CONFIRM, Members, Output,
+        CONFIRM_TIMEOUT, Members, Output,
         message::{Claim, NodeState, PeerMessage, Update},
         record::Merged,
     },
@@ -18,8 +18,8 @@
 
 impl Members {
     /// Merges claims and sends refutations of outdated ones to `from`. Heartbeats travel in one
-    /// direction around the rings, so the sender of a false suspicion would otherwise be the last to
-    /// receive the refutation.
+    /// direction around the rings, so the sender of a false suspicion would otherwise be the last
+    /// to receive the refutation.
     pub(super) fn merge_claims<'a>(
         &mut self,
         now: Instant,
@@ -58,7 +58,7 @@
         let current = record.claim(&claim.name, is_new || !record.listed);
         self.ring_is_stale |= was_in_topology != is_in_topology;
         if to == NodeState::Suspect {
-            self.sweep_at = self.sweep_at.min(now + CONFIRM);
+            self.sweep_at = self.sweep_at.min(now + CONFIRM_TIMEOUT);
         }
         if from != to {
             out.push(Output::Changed { name: claim.name.clone(), from, to });
--- a/crates/decide/src/member/message.rs
+++ b/crates/decide/src/member/message.rs
@@ -71,7 +71,8 @@
     pub revision: u64,
     /// Whether `rows` contains all rows of the table.
     pub whole: bool,
-    /// Milliseconds for which a removed row may still return, after an outage of the store; 0 if none.
+    /// Milliseconds for which a removed row may still return, after an outage of the store; 0 if
+    /// none.
     pub grace_ms: u32,
     /// Rows.
     pub rows: Vec<TableRow>,
@@ -157,8 +158,8 @@
 pub struct RateLimit {
     /// Runner id.
     pub runner: CompactString,
-    /// Limit for all nodes together, in thousandths of a request per second; `None` if the limit was
-    /// lifted.
+    /// Limit for all nodes together, in thousandths of a request per second; `None` if the limit
+    /// was lifted.
     pub limit: Option<u32>,
     /// Age of the response that carried it, in milliseconds; the newest one is applied.
     pub age_ms: u32,
--- a/crates/decide/src/member/record.rs
+++ b/crates/decide/src/member/record.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        ANSWER, CONFIRM, SILENCE, TOMBSTONE,
+        CONFIRM_TIMEOUT, REFUTE_TIMEOUT, SILENCE_TIMEOUT, TOMBSTONE_RETENTION,
         message::{Claim, Moment, NodeIncarnation, NodeLocation, NodeState, Usage},
     },
     crate::{
@@ -40,9 +40,9 @@
 pub(super) enum Overdue {
     /// Silent: it becomes suspect, and its other watchers may refute that.
     Suspect,
-    /// Not refuted within [`ANSWER`]: the suspicion is gossiped.
+    /// Not refuted within [`REFUTE_TIMEOUT`]: the suspicion is gossiped.
     Publish,
-    /// Not refuted within [`CONFIRM`]: the node is considered dead.
+    /// Not refuted within [`CONFIRM_TIMEOUT`]: the node is considered dead.
     Gone,
     /// Retention expired: the node is removed.
     Forget,
@@ -127,8 +127,8 @@
         self.moment = moment;
         let changed = event(state).is_some_and(|e| self.apply(now, e));
         if changed || has_restarted || (is_lost(before) && is_lost(state)) {
-            // The newer moment is gossiped, because other nodes may still consider the node alive at
-            // that moment.
+            // The newer moment is gossiped, because other nodes may still consider the node alive
+            // at that moment.
             Merged::Changed
         } else {
             Merged::Same
@@ -136,9 +136,10 @@
     }
 
     /// Returns whether the node was silent for so long that a suspicion of an older moment is
-    /// accepted. Otherwise two watchers with different moments would refute each other indefinitely.
+    /// accepted. Otherwise two watchers with different moments would refute each other
+    /// indefinitely.
     fn is_stale(&self, now: Instant) -> bool {
-        self.is_running() && now >= self.last_claim + SILENCE
+        self.is_running() && now >= self.last_claim + SILENCE_TIMEOUT
     }
 
     /// Returns whether the node is considered running.
@@ -164,13 +165,15 @@
             NodeState::Starting | NodeState::Ready | NodeState::Draining => {
                 let watched = self.watched_since?;
                 let last = self.last_heartbeat.unwrap_or(watched).max(watched).max(self.since);
-                Some((last + SILENCE, Overdue::Suspect))
+                Some((last + SILENCE_TIMEOUT, Overdue::Suspect))
             }
             NodeState::Suspect if self.awaits_refutation => {
-                Some((self.since + ANSWER, Overdue::Publish))
+                Some((self.since + REFUTE_TIMEOUT, Overdue::Publish))
+            }
+            NodeState::Suspect => Some((self.since + CONFIRM_TIMEOUT, Overdue::Gone)),
+            NodeState::Gone if !self.listed => {
+                Some((self.since + TOMBSTONE_RETENTION, Overdue::Forget))
             }
-            NodeState::Suspect => Some((self.since + CONFIRM, Overdue::Gone)),
-            NodeState::Gone if !self.listed => Some((self.since + TOMBSTONE, Overdue::Forget)),
             NodeState::Unknown | NodeState::Gone | NodeState::Forgotten => None,
         }
     }
--- a/crates/decide/src/member/ring.rs
+++ b/crates/decide/src/member/ring.rs
@@ -10,7 +10,8 @@
 /// Number of rings over all nodes. The other rings connect the nodes of one failure domain each, so
 /// that most heartbeats stay within a domain.
 const GLOBAL_RINGS: u64 = 3;
-/// Minimum size of a failure domain with rings of its own; the nodes of smaller domains share rings.
+/// Minimum size of a failure domain with rings of its own; the nodes of smaller domains share
+/// rings.
 const MIN_RING_DOMAIN: usize = 8;
 
 /// A node and its failure domain.
@@ -36,7 +37,8 @@
 }
 
 impl Ring {
-    /// Computes the neighbours of the node `me` in `domain`; `others` are all other nodes, each once.
+    /// Computes the neighbours of the node `me` in `domain`; `others` are all other nodes, each
+    /// once.
     pub(super) fn new(me: &str, domain: &str, others: &[Neighbour<'_>]) -> Ring {
         let size = others.len() + 1;
         if size <= MAX_MESH {
@@ -62,7 +64,8 @@
     }
 }
 
-/// Returns the number of rings: half of log2 of the size, plus one that allows for a lost neighbour.
+/// Returns the number of rings: half of log2 of the size, plus one that allows for a lost
+/// neighbour.
 fn rings(size: usize) -> u64 {
     u64::from(size.next_power_of_two().ilog2()).div_ceil(2) + 1
 }
--- a/crates/decide/src/member/rounds.rs
+++ b/crates/decide/src/member/rounds.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        ANSWER, MESH_INTERVAL, Members, Output, RING_INTERVAL, SILENCE, Target,
+        MESH_INTERVAL, Members, Output, REFUTE_TIMEOUT, RING_INTERVAL, SILENCE_TIMEOUT, Target,
         message::{Heartbeat, NodeState, PeerMessage, Update},
         record::{NodeEvent, Overdue, Record},
         ring::{MAX_MESH, Neighbour, Ring},
@@ -78,7 +78,7 @@
             }
         }
         let deadlines = self.records.values().filter_map(Record::deadline).map(|(at, _)| at);
-        self.sweep_at = deadlines.fold(now + SILENCE, Instant::min);
+        self.sweep_at = deadlines.fold(now + SILENCE_TIMEOUT, Instant::min);
     }
 
     /// Marks a node as suspect and notifies its other watchers. The link may have failed in one
@@ -88,7 +88,7 @@
         let to = self.watchers(name);
         let Some(record) = self.records.get_mut(name) else { return };
         record.awaits_refutation = true;
-        self.sweep_at = self.sweep_at.min(now + ANSWER);
+        self.sweep_at = self.sweep_at.min(now + REFUTE_TIMEOUT);
         let message = PeerMessage::Claims(vec![record.claim(name, false)]);
         out.push(Output::Send { to, message });
     }
@@ -142,11 +142,11 @@
             record.watched_since = watched.then(|| record.watched_since.unwrap_or(now));
         }
         self.ring = ring;
-        self.sweep_at = self.sweep_at.min(now + SILENCE);
+        self.sweep_at = self.sweep_at.min(now + SILENCE_TIMEOUT);
     }
 
-    /// Probes a random dead node with a claim, and returns it as an additional heartbeat target. The
-    /// two sides of a healed partition would otherwise continue to consider each other dead.
+    /// Probes a random dead node with a claim, and returns it as an additional heartbeat target.
+    /// The two sides of a healed partition would otherwise continue to consider each other dead.
     fn probe(&mut self, now: Instant, out: &mut Vec<Output>) -> Option<Target> {
         if now < self.probe_at {
             return None;
--- a/crates/decide/src/member/table.rs
+++ b/crates/decide/src/member/table.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Members, SILENCE,
+        Members, SILENCE_TIMEOUT,
         message::{Claim, NodeLocation, NodeState, Usage},
     },
     crate::id::{Incarnation, Revision},
@@ -66,7 +66,8 @@
     pub fn usage(&self, now: Instant) -> PeerUsage {
         let nodes =
             self.records.values().filter(|r| r.is_serving() || r.is_lost_but_listed()).count();
-        let is_heard = |r: &&super::Record| r.last_heartbeat.is_some_and(|h| now < h + SILENCE);
+        let is_heard =
+            |r: &&super::Record| r.last_heartbeat.is_some_and(|h| now < h + SILENCE_TIMEOUT);
         let mut sums = BTreeMap::<(&str, &str), u64>::new();
         let mut count = 0;
         for record in self.records.values().filter(is_heard) {
--- a/crates/decide/src/member/updates.rs
+++ b/crates/decide/src/member/updates.rs
@@ -48,7 +48,8 @@
         true
     }
 
-    /// Returns the updates for the next heartbeat to this number of targets, least transmitted first.
+    /// Returns the updates for the next heartbeat to this number of targets, least transmitted
+    /// first.
     pub(super) fn next(&mut self, targets: usize) -> Vec<Update> {
         let repeats = if targets < REDUNDANT { REPEATS } else { 1 };
         self.items.make_contiguous().sort_by_key(|(_, sent)| *sent);
--- a/crates/decide/src/mover.rs
+++ b/crates/decide/src/mover.rs
@@ -1,7 +1,8 @@
 //! Version moves: an entry's traffic is shifted to a new version by a deadline, or rolled back.
 //!
-//! Each node has one [`Mover`], which has no clock, socket or source of randomness of its own. Raising
-//! the share requires the entry's lease and a commit to the table; lowering it requires neither. See
+//! Each node has one [`Mover`], which has no clock, socket or source of randomness of its own.
+//! Raising the share requires the entry's lease and a commit to the table; lowering it requires
+//! neither. See
 //! `docs/design/moves.md`.
 
 pub mod evidence;
@@ -69,7 +70,8 @@
     /// Not an entry of the current catalogue.
     #[error("the catalogue has no entry {0}")]
     NoEntry(CompactString),
-    /// The rows have not been read yet, or the table doesn't respond. A start may still take effect.
+    /// The rows have not been read yet, or the table doesn't respond. A start may still take
+    /// effect.
     #[error("the table does not respond")]
     Table,
     /// The entry already has the requested version.
@@ -105,7 +107,8 @@
     },
     /// Send to all peers, without retries; the next message replaces a lost one.
     Broadcast(MoveUpdate),
-    /// Change the entry's version in the catalogue; repeated until [`Mover::set_version`] reports it.
+    /// Change the entry's version in the catalogue; repeated until [`Mover::set_version`] reports
+    /// it.
     Adopt {
         /// Catalogue entry.
         entry: CompactString,
@@ -234,8 +237,8 @@
         self.tracks.get(entry)?.split(now)
     }
 
-    /// Returns the fencing number for orders to the entry's runners, if this node may send any. Must
-    /// be called right before each order, because some runners don't check the number.
+    /// Returns the fencing number for orders to the entry's runners, if this node may send any.
+    /// Must be called right before each order, because some runners don't check the number.
     pub fn fence(&self, now: Instant, entry: &str) -> Option<u64> {
         self.tracks.get(entry)?.lease.fence(now, self.context.me)
     }
--- a/crates/decide/src/mover/evidence.rs
+++ b/crates/decide/src/mover/evidence.rs
@@ -1,12 +1,12 @@
 //! Evidence on the quality of two versions, in counters that nodes exchange.
 //!
 //! A request is assigned to the new version at random with a known probability, the share. If both
-//! versions are equally good, the new version's fraction of the *bad events* (a failure, a late first
-//! token, a low token rate) equals the share, regardless of load, time of day or callers, which
-//! affect both versions alike. Each bad event therefore multiplies a likelihood ratio: of the
+//! versions are equally good, the new version's fraction of the *bad events* (a failure, a late
+//! first token, a low token rate) equals the share, regardless of load, time of day or callers,
+//! which affect both versions alike. Each bad event therefore multiplies a likelihood ratio: of the
 //! hypothesis that bad events are `r` times as frequent on the new version, to the hypothesis that
-//! they are at most [`TOLERANCE`] times as frequent. The logarithms are summed over requests and nodes, so a
-//! node sends one running sum per hypothesis.
+//! they are at most [`TOLERANCE`] times as frequent. The logarithms are summed over requests and
+//! nodes, so a node sends one running sum per hypothesis.
 
 use {
     super::split::Choice,
@@ -249,8 +249,8 @@
 }
 
 impl PooledEvidence {
-    /// Merges a node's counters unless newer ones of that node are known. Idempotent and independent
-    /// of the order of messages.
+    /// Merges a node's counters unless newer ones of that node are known. Idempotent and
+    /// independent of the order of messages.
     pub fn merge(&mut self, node: Incarnation, evidence: &Evidence) {
         let has_room = self.nodes.len() < MAX_NODES || self.nodes.contains_key(&node);
         if !has_room || !evidence.is_valid() {
--- a/crates/decide/src/mover/lease.rs
+++ b/crates/decide/src/mover/lease.rs
@@ -2,8 +2,8 @@
 //! fencing number for orders to runners.
 //!
 //! Clocks are not synchronized. The holder measures the lease's duration from before it sent the
-//! write; all others measure it from when they first saw the row of that write. The holder therefore
-//! always stops before another node takes over.
+//! write; all others measure it from when they first saw the row of that write. The holder
+//! therefore always stops before another node takes over.
 
 use {
     crate::id::Incarnation,
@@ -14,8 +14,8 @@
 
 /// Duration of a lease without renewal.
 pub const TTL: Duration = Duration::from_secs(9);
-/// Time after which others take over the lease. Longer than [`TTL`], to allow for clocks that run at
-/// different speeds.
+/// Time after which others take over the lease. Longer than [`TTL`], to allow for clocks that run
+/// at different speeds.
 pub const TAKE_OVER_AFTER: Duration = Duration::from_secs(10);
 /// Time after which the holder renews the lease.
 pub const RENEW_AFTER: Duration = Duration::from_secs(3);
@@ -67,9 +67,10 @@
 
     /// Returns the fencing number if `me` is certain to hold the lease at `now`.
     ///
-    /// Without this check, a holder that was paused would continue to send orders after another node
-    /// took over. The check alone doesn't make raises safe; they also depend on the conditional
-    /// write. Orders are absolute and idempotent because some runners ignore the fencing number.
+    /// Without this check, a holder that was paused would continue to send orders after another
+    /// node took over. The check alone doesn't make raises safe; they also depend on the
+    /// conditional write. Orders are absolute and idempotent because some runners ignore the
+    /// fencing number.
     pub fn fence(&self, now: Instant, me: Incarnation) -> Option<u64> {
         let row = self.row.filter(|r| r.holder == me)?;
         let (_, sent) = self.writes.iter().find(|(commit, _)| *commit == row.commit)?;
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Returns the row to write, identified by the random number `commit`, and remembers that it was
-    /// sent at `now`.
+    /// Returns the row to write, identified by the random number `commit`, and remembers that it
+    /// was sent at `now`.
     pub fn prepare_write(&mut self, now: Instant, me: Incarnation, commit: u64) -> LeaseRow {
         if self.writes.len() == MAX_WRITES {
             self.writes.remove(0);
--- a/crates/decide/src/mover/schedule.rs
+++ b/crates/decide/src/mover/schedule.rs
@@ -18,8 +18,8 @@
 /// Minimum reserve between the planned settling and the deadline.
 const MIN_MARGIN: Duration = Duration::from_secs(10);
 
-/// Minimum and maximum first share. With a smaller one, the evidence would take hours; with a larger
-/// one, a version that is bad from the start would affect too many requests.
+/// Minimum and maximum first share. With a smaller one, the evidence would take hours; with a
+/// larger one, a version that is bad from the start would affect too many requests.
 const FIRST_SHARE_RANGE: [u16; 2] = [100, 1_000];
 /// Shares after the first. The last one leaves the old version enough requests for a comparison.
 const LATER_SHARES: [u16; 4] = [500, 2_000, 5_000, 9_000];
@@ -29,8 +29,8 @@
 const SOAK_FRACTION: f64 = 0.10;
 /// Fraction of the total time that is kept in reserve, if longer than [`MIN_MARGIN`].
 const MARGIN_FRACTION: f64 = 0.05;
-/// Fractions of the used spare time for the first step and for the middle steps together; the rest is
-/// for the last step.
+/// Fractions of the used spare time for the first step and for the middle steps together; the rest
+/// is for the last step.
 const SPARE_FRACTIONS: [f64; 2] = [0.6, 0.2];
 
 /// An operator's priorities; only their proportions matter.
--- a/crates/decide/src/mover/split.rs
+++ b/crates/decide/src/mover/split.rs
@@ -41,8 +41,8 @@
         if is_valid { self.share } else { Share::NONE }
     }
 
-    /// Assigns a request to a version. `hash` is uniformly distributed and the same for repeats of a
-    /// request. Only for a request's first attempt; later attempts stay with its version.
+    /// Assigns a request to a version. `hash` is uniformly distributed and the same for repeats of
+    /// a request. Only for a request's first attempt; later attempts stay with its version.
     pub fn choose(&self, now: Instant, hash: u64) -> Choice {
         let share = self.share(now);
         Choice { id: Some(self.id), new: share.holds(hash), share }
--- a/crates/decide/src/mover/standing.rs
+++ b/crates/decide/src/mover/standing.rs
@@ -71,8 +71,9 @@
     pub node: Incarnation,
 }
 
-/// Progress of a move. The order of the variants is the order of the semilattice: [`Standing::join`]
-/// returns the higher one, so that updates may arrive in any order and any number of times.
+/// Progress of a move. The order of the variants is the order of the semilattice:
+/// [`Standing::join`] returns the higher one, so that updates may arrive in any order and any
+/// number of times.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
--- a/crates/decide/src/mover/sync.rs
+++ b/crates/decide/src/mover/sync.rs
@@ -86,9 +86,9 @@
 
     /// Writes the move's row, the lease's row or both.
     ///
-    /// A raise writes both rows atomically. Otherwise a holder that was paused between its check and
-    /// its write could raise on outdated evidence after another node took over. The takeover changes
-    /// the revision of the lease's row, so the whole commit is rejected.
+    /// A raise writes both rows atomically. Otherwise a holder that was paused between its check
+    /// and its write could raise on outdated evidence after another node took over. The takeover
+    /// changes the revision of the lease's row, so the whole commit is rejected.
     fn send_commit(
         &mut self,
         now: Instant,
@@ -148,9 +148,9 @@
             self.apply_row(now, wall, revision, Some(row));
         }
         // A write of the lease alone doesn't reveal the state of the move's row. If it extended the
-        // share, a node that had been partitioned would, after renewing its lease, send requests to a
-        // version that was rolled back meanwhile, until its next read. Reads are frequent enough for
-        // that: three per validity period of a share.
+        // share, a node that had been partitioned would, after renewing its lease, send requests to
+        // a version that was rolled back meanwhile, until its next read. Reads are frequent enough
+        // for that: three per validity period of a share.
         if wrote_row {
             self.freshness.table_responded(sent_at);
         }
--- a/crates/decide/src/mover/units.rs
+++ b/crates/decide/src/mover/units.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds: either a wall-clock time since the Unix epoch or a duration. Wall-clock time is only
-/// used for deadlines, so a wrong clock shifts a schedule but never a lease.
+/// Milliseconds: either a wall-clock time since the Unix epoch or a duration. Wall-clock time is
+/// only used for deadlines, so a wrong clock shifts a schedule but never a lease.
 pub type Millis = u64;
 
 /// A fraction of the requests, in ten-thousandths.
--- a/crates/decide/src/mover/verdict.rs
+++ b/crates/decide/src/mover/verdict.rs
@@ -1,14 +1,15 @@
 //! Sequential test of whether the new version is worse than the old one.
 //!
 //! Every node evaluates the evidence several times per second, so a fixed-size test would sooner or
-//! later reject any good version (Johari et al. 2017, "Peeking at A/B tests"). The running likelihood
-//! ratios of [`super::evidence`] are non-negative supermartingales as long as the version is no
-//! worse, as in Wald's sequential test (1945). By Ville's inequality (1939; Robbins 1970), the
-//! probability that their mean over several hypotheses ever exceeds `1/a` during a move is at most
+//! later reject any good version (Johari et al. 2017, "Peeking at A/B tests"). The running
+//! likelihood ratios of [`super::evidence`] are non-negative supermartingales as long as the
+//! version is no worse, as in Wald's sequential test (1945). By Ville's inequality (1939; Robbins
+//! 1970), the probability that their mean over several hypotheses ever exceeds `1/a` during a move
+//! is at most
 //! `a`. To detect versions that turn bad later, a new ratio starts at each of [`EPOCHS`] times, and
-//! the mean is taken over these starts too. This costs a constant factor of detection speed and keeps
-//! the bound valid. The permitted probability is divided equally among routes, kinds of bad event and
-//! nodes.
+//! the mean is taken over these starts too. This costs a constant factor of detection speed and
+//! keeps the bound valid. The permitted probability is divided equally among routes, kinds of bad
+//! event and nodes.
 
 use {
     super::{
@@ -26,14 +27,14 @@
 pub const EPOCHS: u32 = 64;
 /// Weight of the ratio that starts with the move.
 const INITIAL_WEIGHT: f64 = 0.25;
-/// Number of tested cells: for each kind of bad event, the routes, [`super::evidence::OTHER`] and the
-/// total.
+/// Number of tested cells: for each kind of bad event, the routes, [`super::evidence::OTHER`] and
+/// the total.
 const CELLS: f64 = ((MAX_ROUTES + 2) * METRICS) as f64;
 
 /// Score at which a version becomes suspect: bad events less the credit of good ones.
 const SUSPECT_SCORE: f64 = 4.0;
-/// Fraction of a bad event that a good request compensates, by kind. On a good version, failures are
-/// rare, while a few percent of the requests are late or slow.
+/// Fraction of a bad event that a good request compensates, by kind. On a good version, failures
+/// are rare, while a few percent of the requests are late or slow.
 const GOOD_CREDIT: [f64; METRICS] = [0.1, 0.25, 0.25];
 /// Score at which a suspicion is cleared by good requests on the same route.
 const CLEARED_SCORE: f64 = 1.0;
@@ -201,8 +202,8 @@
 }
 
 /// Returns whether the bad events come from at least two runners, or there is only one. A single
-/// failed or slow runner causes bad events on its own version only, which would otherwise look like a
-/// bad version.
+/// failed or slow runner causes bad events on its own version only, which would otherwise look like
+/// a bad version.
 fn affects_several_runners(counts: &Counts, metric: usize) -> bool {
     counts.bad[metric].runners.count_ones() >= 2 || counts.runners.count_ones() <= 1
 }
--- a/crates/decide/tests/intent.rs
+++ b/crates/decide/tests/intent.rs
@@ -330,10 +330,10 @@
     TestResult::passed()
 }
 
-/// Guards against a call that runs twice. Callers repeatedly send the same call with one key to three
-/// nodes, while nodes crash and pause, the table is unavailable, and replies are lost with the write
-/// failing, taking effect, or taking effect much later. The runner must receive the call at most
-/// once, a response "not run" must be true, and every other response must be the runner's.
+/// Guards against a call that runs twice. Callers repeatedly send the same call with one key to
+/// three nodes, while nodes crash and pause, the table is unavailable, and replies are lost with
+/// the write failing, taking effect, or taking effect much later. The runner must receive the call
+/// at most once, a response "not run" must be true, and every other response must be the runner's.
 #[test]
 fn a_call_runs_at_most_once() {
     check(property as fn(Vec<Op>) -> TestResult, 120, 1500);
--- a/crates/decide/tests/intent_cases.rs
+++ b/crates/decide/tests/intent_cases.rs
@@ -57,8 +57,8 @@
 }
 
 /// The replies to the insert and to the read are lost, so the first request ends with an unclear
-/// outcome, although the insert took effect. A later request at the same node takes over the claim; a
-/// third one must not.
+/// outcome, although the insert took effect. A later request at the same node takes over the claim;
+/// a third one must not.
 #[test]
 fn an_abandoned_claim_is_taken_over_once() {
     let mut first = Request::new(1);
--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -4,8 +4,8 @@
     bilberryfront_decide::{
         id::Incarnation,
         member::{
-            Address, CONFIRM, MESH_INTERVAL, Me, Members, Output, PeerMessage, SILENCE, TOMBSTONE,
-            Target,
+            Address, CONFIRM_TIMEOUT, MESH_INTERVAL, Me, Members, Output, PeerMessage,
+            SILENCE_TIMEOUT, TOMBSTONE_RETENTION, Target,
             message::{
                 Claim, Heartbeat, Hint, HintKind, Moment, NodeIncarnation, NodeLocation, NodeState,
                 Update, Usage,
@@ -167,8 +167,8 @@
     }
 }
 
-/// Guards against addresses of dead nodes: the list lags behind, so a listed node without a heartbeat
-/// may be dead.
+/// Guards against addresses of dead nodes: the list lags behind, so a listed node without a
+/// heartbeat may be dead.
 #[test]
 fn a_listed_node_without_a_heartbeat_is_not_in_addresses() {
     let now = Instant::now();
@@ -205,23 +205,23 @@
     assert_eq!(domains, ["domain-a", "domain-a", "domain-a", "domain-b", "domain-b"]);
 }
 
-/// A node dies but stays listed. It must become suspect after [`SILENCE`] and be removed from the
-/// addresses after [`CONFIRM`].
+/// A node dies but stays listed. It must become suspect after [`SILENCE_TIMEOUT`] and be removed
+/// from the addresses after [`CONFIRM_TIMEOUT`].
 #[test]
 fn a_silent_node_is_removed_from_addresses_while_listed() {
     let start = Instant::now();
     let mut a = pair(start);
     let mut out = Vec::new();
-    let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE, &mut out);
+    let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE_TIMEOUT, &mut out);
     assert_eq!(state(&a, "b"), Some(NodeState::Suspect));
     a.apply_list(now, &list(2, &["a", "b"]));
-    run(&mut a, now, CONFIRM + STEP, &mut out);
+    run(&mut a, now, CONFIRM_TIMEOUT + STEP, &mut out);
     assert_eq!(state(&a, "b"), Some(NodeState::Gone));
     assert_eq!(urls(&a), ["http://a"]);
 }
 
-/// Guards against the removal of a working node: the list no longer contains a node that still sends
-/// heartbeats.
+/// Guards against the removal of a working node: the list no longer contains a node that still
+/// sends heartbeats.
 #[test]
 fn a_node_with_heartbeats_stays_in_addresses_while_unlisted() {
     let now = Instant::now();
@@ -251,8 +251,8 @@
     assert_eq!(urls(&a), ["http://a"]);
 }
 
-/// The instance list is unavailable for an hour. No node may be removed from the addresses because of
-/// that, and a node that fails afterwards must still be detected.
+/// The instance list is unavailable for an hour. No node may be removed from the addresses because
+/// of that, and a node that fails afterwards must still be detected.
 #[test]
 fn failure_detection_works_without_the_list() {
     let mut net = Net::new(3);
@@ -263,8 +263,8 @@
     assert_eq!(net.counts(), [2, 2, 1]);
 }
 
-/// A failed connection makes a node suspect immediately. Its next heartbeat must clear the suspicion,
-/// and until then it must stay in the addresses.
+/// A failed connection makes a node suspect immediately. Its next heartbeat must clear the
+/// suspicion, and until then it must stay in the addresses.
 #[test]
 fn a_failed_connection_causes_a_suspicion_until_the_next_heartbeat() {
     let now = Instant::now();
@@ -276,8 +276,8 @@
     assert_eq!(state(&a, "b"), Some(NodeState::Ready));
 }
 
-/// Guards against a delayed heartbeat of a former incarnation that arrives after the first one of the
-/// new incarnation and would restore the old state.
+/// Guards against a delayed heartbeat of a former incarnation that arrives after the first one of
+/// the new incarnation and would restore the old state.
 #[test]
 fn a_late_heartbeat_of_an_older_incarnation_is_ignored() {
     let now = Instant::now();
@@ -294,9 +294,9 @@
     assert_eq!(state(&a, "b"), Some(NodeState::Ready));
 }
 
-/// A node restarts with its clock set back, so that its new incarnation appears to be the older one.
-/// The receiver must reply with its claim, and the node must raise its epoch; otherwise its heartbeats
-/// would be ignored permanently.
+/// A node restarts with its clock set back, so that its new incarnation appears to be the older
+/// one. The receiver must reply with its claim, and the node must raise its epoch; otherwise its
+/// heartbeats would be ignored permanently.
 #[test]
 fn a_restart_with_an_older_clock_raises_the_epoch() {
     let now = Instant::now();
@@ -316,9 +316,9 @@
     let [Output::Send { to, message }] = &out[..] else { panic!("{out:?}") };
     assert_eq!(to[0], Target { name: "b".into(), address: "b:1".into() });
     b.receive(now, "a", message, &mut Vec::new());
-    let mut beats = Vec::new();
-    run(&mut b, now, Duration::from_secs(1), &mut beats);
-    let Some(Output::Send { message, .. }) = beats.first() else { panic!("{beats:?}") };
+    let mut sent = Vec::new();
+    run(&mut b, now, Duration::from_secs(1), &mut sent);
+    let Some(Output::Send { message, .. }) = sent.first() else { panic!("{sent:?}") };
     a.receive(now, "b", message, &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Ready));
 }
@@ -335,30 +335,30 @@
     a.on_heartbeat(now, "b", &beat, &mut Vec::new());
     let mut out = Vec::new();
     run(&mut a, now + MESH_INTERVAL * 2, Duration::from_secs(1), &mut out);
-    let said = out.iter().any(|o| {
+    let refuted = out.iter().any(|o| {
         let Output::Send { message: PeerMessage::Heartbeat(h), .. } = o else { return false };
         h.updates.iter().any(|n| match n {
             Update::Node(c) => c.name == "a" && c.state == NodeState::Ready && c.moment > before,
             Update::Runner(_) => false,
         })
     });
-    assert!(said, "{out:?}");
+    assert!(refuted, "{out:?}");
 }
 
-/// Guards against false suspicions after a pause: the process is suspended for a minute, so that the
-/// heartbeats of all other nodes appear overdue when it resumes.
+/// Guards against false suspicions after a pause: the process is suspended for a minute, so that
+/// the heartbeats of all other nodes appear overdue when it resumes.
 #[test]
 fn a_pause_of_this_process_causes_no_suspicion() {
     let start = Instant::now();
     let mut a = pair(start);
     let now = start + Duration::from_secs(60);
     let mut out = Vec::new();
-    run(&mut a, now, SILENCE - STEP * 2, &mut out);
+    run(&mut a, now, SILENCE_TIMEOUT - STEP * 2, &mut out);
     assert_eq!(urls(&a), ["http://a", "http://b"]);
 }
 
-/// A partition splits a region. Each side must remove the nodes of the other side within seconds, and
-/// both must merge again after the partition without a new list or a restart.
+/// A partition splits a region. Each side must remove the nodes of the other side within seconds,
+/// and both must merge again after the partition without a new list or a restart.
 #[test]
 fn a_partition_heals() {
     let mut net = Net::new(6);
@@ -387,8 +387,8 @@
     assert_eq!(net.counts(), [40; 40]);
 }
 
-/// Only the link between two nodes fails, in both directions. The other nodes receive heartbeats from
-/// both and must refute the suspicions, so that neither node is removed from any addresses.
+/// Only the link between two nodes fails, in both directions. The other nodes receive heartbeats
+/// from both and must refute the suspicions, so that neither node is removed from any addresses.
 #[test]
 fn a_failed_link_removes_no_node() {
     let mut net = Net::new(6);
@@ -409,14 +409,14 @@
         let mut a = member(start, "a");
         a.apply_list(start, &list(1, &["a", "b"]));
         a.on_heartbeat(start, "b", &heartbeat(incarnation(1, 1), 1, before), &mut Vec::new());
-        run(&mut a, start, MESH_INTERVAL * 2 + SILENCE, &mut Vec::new());
+        run(&mut a, start, MESH_INTERVAL * 2 + SILENCE_TIMEOUT, &mut Vec::new());
         assert_eq!(state(&a, "b"), Some(NodeState::Suspect));
         assert_eq!(urls(&a), ["http://a"]);
     }
 }
 
-/// A node without a heartbeat was listed with a wrong address, which a later list corrects. Heartbeats
-/// must be sent to the new address.
+/// A node without a heartbeat was listed with a wrong address, which a later list corrects.
+/// Heartbeats must be sent to the new address.
 #[test]
 fn the_list_corrects_the_address_of_a_node_without_a_heartbeat() {
     let now = Instant::now();
@@ -464,16 +464,16 @@
     let mut beat = heartbeat(incarnation(1, 1), 2, NodeState::Ready);
     beat.updates = vec![claim(1, NodeState::Gone)];
     a.on_heartbeat(now, "b", &beat, &mut Vec::new());
-    let later = run(&mut a, now + MESH_INTERVAL * 2, SILENCE, &mut Vec::new());
+    let later = run(&mut a, now + MESH_INTERVAL * 2, SILENCE_TIMEOUT, &mut Vec::new());
     (beat.moment.beat, beat.updates) = (3, vec![claim(5, NodeState::Suspect)]);
     a.on_heartbeat(later, "b", &beat, &mut Vec::new());
     let mut out = Vec::new();
     run(&mut a, later, MESH_INTERVAL * 2, &mut out);
-    let said = out.iter().any(|o| {
+    let gossiped = out.iter().any(|o| {
         let Output::Send { message: PeerMessage::Heartbeat(h), .. } = o else { return false };
         h.updates.contains(&claim(5, NodeState::Gone))
     });
-    assert!(said, "{out:?}");
+    assert!(gossiped, "{out:?}");
 }
 
 /// `a` considers `b` gone because of a false claim, and the refutation was lost. No other node
@@ -557,7 +557,7 @@
     a.on_heartbeat(start, "b", &beat, &mut Vec::new());
     assert_eq!(a.usage(start).nodes, 1);
     assert_eq!(a.usage(start).running, beat.usage);
-    let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE * 2, &mut Vec::new());
+    let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE_TIMEOUT * 2, &mut Vec::new());
     assert_eq!(state(&a, "b"), Some(NodeState::Gone));
     assert_eq!(a.usage(now).nodes, 1);
     assert_eq!(a.usage(now).running, []);
@@ -569,10 +569,10 @@
 fn a_gone_and_unlisted_node_is_forgotten() {
     let start = Instant::now();
     let mut a = pair(start);
-    let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE * 2, &mut Vec::new());
+    let now = run(&mut a, start + MESH_INTERVAL * 2, SILENCE_TIMEOUT * 2, &mut Vec::new());
     a.apply_list(now, &list(2, &["a"]));
     assert_eq!(state(&a, "b"), Some(NodeState::Gone));
-    run(&mut a, now, TOMBSTONE + SILENCE, &mut Vec::new());
+    run(&mut a, now, TOMBSTONE_RETENTION + SILENCE_TIMEOUT, &mut Vec::new());
     assert_eq!(state(&a, "b"), None);
 }
 
@@ -586,9 +586,9 @@
     assert_eq!(out_a, out_b);
 }
 
-/// Guards against excessive traffic in large deployments: with 100 nodes in three domains and 300 in
-/// five, at least half of the messages must stay within a domain, and the message rate per node must
-/// grow only with the logarithm of the number of nodes.
+/// Guards against excessive traffic in large deployments: with 100 nodes in three domains and 300
+/// in five, at least half of the messages must stay within a domain, and the message rate per node
+/// must grow only with the logarithm of the number of nodes.
 #[test]
 fn most_heartbeats_stay_in_their_domain() {
     for (size, domains) in [(100, "abc"), (300, "abcde")] {
@@ -616,13 +616,14 @@
     let mut net = Net::of((0..150).map(|i| format_compact!("{}{i}", domain(i))).collect());
     net.run(Duration::from_secs(5));
     net.cut = |from, to| (from % 5 == 0) || (to % 5 == 0);
-    net.run(SILENCE + CONFIRM + Duration::from_secs(3));
+    net.run(SILENCE_TIMEOUT + CONFIRM_TIMEOUT + Duration::from_secs(3));
     let counts = net.counts();
     let others = counts.iter().enumerate().filter(|(i, _)| i % 5 > 0);
     assert!(others.clone().all(|(_, n)| *n == 120), "{counts:?}");
 }
 
-/// Guards against late joiners that stay unknown to most nodes because only some nodes read the list.
+/// Guards against late joiners that stay unknown to most nodes because only some nodes read the
+/// list.
 #[test]
 fn a_node_listed_by_few_becomes_known_to_all() {
     const OLD: usize = 60;
--- a/crates/decide/tests/member_drain.rs
+++ b/crates/decide/tests/member_drain.rs
@@ -8,9 +8,9 @@
 
 const TTL: Duration = Duration::from_secs(10);
 
-/// A node drains while callers hold address responses that contain it, and a stream runs for an hour.
-/// It must be removed from new responses immediately, serve until the last earlier response has
-/// expired, and exit only after the end of the stream.
+/// A node drains while callers hold address responses that contain it, and a stream runs for an
+/// hour. It must be removed from new responses immediately, serve until the last earlier response
+/// has expired, and exit only after the end of the stream.
 #[test]
 fn a_draining_node_serves_until_its_address_responses_have_expired() {
     let start = Instant::now();
--- a/crates/decide/tests/mover/scenarios.rs
+++ b/crates/decide/tests/mover/scenarios.rs
@@ -49,8 +49,8 @@
     assert!(drive.bad * 50 <= 300 * 20, "{} bad requests", drive.bad);
 }
 
-/// The new version fails only at a share of 40% or more. It passes the smaller steps; the move must be
-/// rolled back at the larger ones.
+/// The new version fails only at a share of 40% or more. It passes the smaller steps; the move must
+/// be rolled back at the larger ones.
 #[test]
 fn version_bad_under_load_is_rolled_back() {
     let mut drive = Drive::new(|r| r.share >= 0.4);
@@ -71,8 +71,8 @@
     assert!(drive.bad * 50 <= 300 * 20, "{} bad requests", drive.bad);
 }
 
-/// An operator requests a move with a deadline that is too close for sufficient evidence. The request
-/// is rejected immediately with the required time, and nothing is written.
+/// An operator requests a move with a deadline that is too close for sufficient evidence. The
+/// request is rejected immediately with the required time, and nothing is written.
 #[test]
 fn impossible_deadline_is_rejected_immediately() {
     let mut drive = Drive::new(|_| false);
@@ -105,8 +105,8 @@
     assert_eq!(drive.world.table.row().map(|(_, r)| r.moved.id), Some(*id));
 }
 
-/// An operator undoes a move while the lease holder raises the share. Whichever write comes first, no
-/// node may send requests to the new version from 3 s later on.
+/// An operator undoes a move while the lease holder raises the share. Whichever write comes first,
+/// no node may send requests to the new version from 3 s later on.
 #[test]
 fn undo_takes_precedence_over_a_raise() {
     let mut drive = Drive::new(|_| false);
--- a/crates/decide/tests/mover/store.rs
+++ b/crates/decide/tests/mover/store.rs
@@ -9,8 +9,8 @@
     std::time::Duration,
 };
 
-/// The new version turns bad while the table is down. The nodes must stop sending to it by exchanging
-/// verdicts with each other, and write the verdict when the table is available again.
+/// The new version turns bad while the table is down. The nodes must stop sending to it by
+/// exchanging verdicts with each other, and write the verdict when the table is available again.
 #[test]
 fn version_that_turns_bad_while_the_table_is_down_is_rolled_back() {
     let mut drive = Drive::new(|r| r.at > 100.0);
@@ -25,9 +25,9 @@
     assert!(drive.run_until(10, Drive::is_taken_back));
 }
 
-/// A lease holder's raise is in transit for longer than the lease lasts. Another node takes over the
-/// lease and doesn't raise yet. The delayed raise expects the current revision of the move's row, but
-/// must be rejected, because its sender no longer holds the lease.
+/// A lease holder's raise is in transit for longer than the lease lasts. Another node takes over
+/// the lease and doesn't raise yet. The delayed raise expects the current revision of the move's
+/// row, but must be rejected, because its sender no longer holds the lease.
 #[test]
 fn late_raise_of_a_former_holder_is_rejected() {
     let mut drive = Drive::new(|_| false);
@@ -111,8 +111,8 @@
     assert!(drive.run_until(290, Drive::is_settled));
 }
 
-/// All nodes but one are replaced during a move, and their evidence is lost. The new nodes must read
-/// the row and apply its share, and the move must settle.
+/// All nodes but one are replaced during a move, and their evidence is lost. The new nodes must
+/// read the row and apply its share, and the move must settle.
 #[test]
 fn replaced_nodes_continue_the_move() {
     let mut drive = Drive::new(|_| false);
@@ -123,8 +123,8 @@
     assert!(drive.run_until(390, Drive::is_settled));
 }
 
-/// The table is down when an operator starts a move. The start must fail, and the move must not begin
-/// later when the table is available again.
+/// The table is down when an operator starts a move. The start must fail, and the move must not
+/// begin later when the table is available again.
 #[test]
 fn start_fails_while_the_table_is_down() {
     let mut drive = Drive::new(|_| false);
