--- a/src/control.rs
+++ b/src/control.rs
@@ -42,7 +42,7 @@
 /// A message to the control thread.
 pub enum Message {
     /// A request asks for a runner and waits for the answer.
-    Ask(RunnerRequest, oneshot::Sender<Result<Grant>>),
+    Request(RunnerRequest, oneshot::Sender<Result<Grant>>),
     /// Any other event.
     Event(Event),
 }
@@ -113,11 +113,11 @@
     }
 
     /// Waits for a runner. If the returned future is dropped early, the request is withdrawn.
-    pub async fn ask(&self, ask: RunnerRequest) -> Result<Grant> {
-        let ticket = ask.ticket;
+    pub async fn request_runner(&self, request: RunnerRequest) -> Result<Grant> {
+        let ticket = request.ticket;
         let (sender, receiver) = oneshot::channel();
         let stopped = Rejection { ticket, reason: Reason::NoRunner, retry_after: None };
-        if self.sender.send(Message::Ask(ask, sender)).is_err() {
+        if self.sender.send(Message::Request(request, sender)).is_err() {
             return Err(stopped);
         }
         let mut guard = WithdrawOnDrop { control: self, ticket, armed: true };
@@ -173,9 +173,9 @@
         let (mut changed, revision) = (false, core.catalog().revision);
         for message in batch.drain(..) {
             let event = match message {
-                Message::Ask(ask, answer) => {
-                    waiting.insert(ask.ticket, answer);
-                    Event::Request(ask)
+                Message::Request(request, answer) => {
+                    waiting.insert(request.ticket, answer);
+                    Event::Request(request)
                 }
                 Message::Event(event) => event,
             };
--- a/src/traffic/services/job.rs
+++ b/src/traffic/services/job.rs
@@ -91,7 +91,7 @@
     }
 
     /// Returns the request to the core for a runner of the call.
-    pub fn ask(
+    pub fn runner_request(
         &self,
         ticket: Ticket,
         purpose: Purpose,
--- a/src/traffic/services/once.rs
+++ b/src/traffic/services/once.rs
@@ -109,8 +109,8 @@
     let control = &services.control;
     loop {
         let pin = chooser.version().cloned();
-        let ask = job.ask(control.next_ticket(), Purpose::First, avoid, pin);
-        match control.ask(ask).await {
+        let request = job.runner_request(control.next_ticket(), Purpose::First, avoid, pin);
+        match control.request_runner(request).await {
             Ok(grant) => return Ok(Lease::new(control.clone(), grant, chooser.trial())),
             Err(rejection) if rejection.reason == Reason::NoRunner && chooser.fall_back() => {}
             Err(rejection) => return Err(problem::from_rejection(&rejection)),
--- a/src/traffic/services/repeat.rs
+++ b/src/traffic/services/repeat.rs
@@ -37,7 +37,11 @@
     let mut deadline = None;
     for attempt in 1..=MAX_ATTEMPTS {
         let pin = chooser.version().cloned();
-        let grant = match services.control.ask(job.ask(ticket, purpose, avoid, pin)).await {
+        let grant = match services
+            .control
+            .request_runner(job.runner_request(ticket, purpose, avoid, pin))
+            .await
+        {
             Ok(grant) => grant,
             Err(rejection) if rejection.reason == Reason::NoRunner && chooser.fall_back() => {
                 (ticket, purpose) = (services.control.next_ticket(), Purpose::First);
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -124,7 +124,7 @@
     }
 
     async fn start_attempt(&mut self) -> Option<Piece> {
-        let ask = RunnerRequest {
+        let request = RunnerRequest {
             ticket: self.ticket,
             entry: self.job.entry,
             account: self.job.account,
@@ -133,7 +133,7 @@
             avoid: self.avoid,
             purpose: self.purpose,
         };
-        let grant = match self.control.ask(ask).await {
+        let grant = match self.control.request_runner(request).await {
             Ok(grant) => grant,
             Err(rejection) => return self.on_rejection(&rejection),
         };
@@ -142,7 +142,7 @@
         }
         self.purpose = Purpose::Retry;
         let lease = Lease::new(self.control.clone(), grant, self.chooser.trial());
-        let generate = self.runner_request(&lease.grant);
+        let generate = self.generate_request(&lease.grant);
         let wait = millis(self.job.limits.first_ms);
         let opened = self.engines.open(&lease.grant.url, &generate, wait).await;
         self.is_sent |= !matches!(opened, Err(Failure::Unsent));
@@ -155,7 +155,7 @@
         }
     }
 
-    fn runner_request(&mut self, grant: &Grant) -> Generate {
+    fn generate_request(&mut self, grant: &Grant) -> Generate {
         let attempt = self.generation.start_attempt(&grant.version);
         Generate {
             request: self.job.runner_request.clone(),
