--- a/crates/peer/src/receiver.rs
+++ b/crates/peer/src/receiver.rs
@@ -19,7 +19,7 @@
 /// Timeout for reading a message.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why reading a message failed.
+/// The message could not be read.
 struct ReadError;
 
 pub(super) async fn run(shared: Arc<Shared>) {
--- a/crates/standins/src/feed_store.rs
+++ b/crates/standins/src/feed_store.rs
@@ -75,7 +75,7 @@
     has_more: bool,
 }
 
-/// The stand-in. Clones share their state.
+/// A stand-in for the row store. Clones share their state.
 #[derive(Clone, Default)]
 pub struct FeedStore {
     faults: Arc<FaultInjector>,
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -27,7 +27,7 @@
     },
 };
 
-/// The stand-in.
+/// A stand-in for the instance list.
 pub struct List {
     faults: Arc<FaultInjector>,
     instances: Mutex<Lagged<InstanceList>>,
--- a/crates/standins/src/runner.rs
+++ b/crates/standins/src/runner.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// The stand-in.
+/// A stand-in for a model engine.
 pub struct Runner {
     pub(crate) config: RunnerConfig,
     pub(crate) faults: Arc<FaultInjector>,
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// The stand-in.
+/// A stand-in for a plain service.
 pub struct Service {
     config: ServiceConfig,
     faults: Arc<FaultInjector>,
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -35,7 +35,7 @@
     pub rows: u64,
 }
 
-/// The stand-in.
+/// A stand-in for the table service.
 #[derive(Default)]
 pub struct Table {
     faults: Arc<FaultInjector>,
