--- a/crates/decide/tests/member.rs
+++ b/crates/decide/tests/member.rs
@@ -279,7 +279,7 @@
 /// Guards against a delayed heartbeat of a former incarnation that arrives after the first one of the
 /// new incarnation and would restore the old state.
 #[test]
-fn a_late_heartbeat_out_an_older_incarnation_is_ignored() {
+fn a_late_heartbeat_of_an_older_incarnation_is_ignored() {
     let now = Instant::now();
     let mut a = pair(now);
     a.on_heartbeat(
@@ -418,7 +418,7 @@
 /// A node without a heartbeat was listed with a wrong address, which a later list corrects. Heartbeats
 /// must be sent to the new address.
 #[test]
-fn the_list_corrects_the_address_out_a_node_without_a_heartbeat() {
+fn the_list_corrects_the_address_of_a_node_without_a_heartbeat() {
     let now = Instant::now();
     let mut a = member(now, "a");
     a.apply_list(now, &list(1, &["a", "b"]));
@@ -454,7 +454,7 @@
 /// gossip that moment: other nodes may still consider the lost node ready at that moment, and would
 /// keep it in their addresses.
 #[test]
-fn a_later_suspicion_out_a_lost_node_is_gossiped() {
+fn a_later_suspicion_of_a_lost_node_is_gossiped() {
     let now = Instant::now();
     let mut a = pair(now);
     let claim = |beat, state| {
--- a/crates/decide/tests/mover/fake.rs
+++ b/crates/decide/tests/mover/fake.rs
@@ -244,7 +244,7 @@
             }
             _ if is_cut_off(node) => {}
             Output::Read { number, read } => {
-                self.enqueue(node, incarnation, Packet::Read(number, read))
+                self.enqueue(node, incarnation, Packet::Read(number, read));
             }
             Output::Commit { number, commit } => {
                 self.enqueue(node, incarnation, Packet::Commit(number, commit));
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -1,4 +1,4 @@
-//! What the operators' face sees of a running node.
+//! Access of the operators' API to a running node.
 
 use {
     super::{
@@ -6,7 +6,7 @@
         server,
     },
     crate::{
-        catalogue::store::Numbered,
+        catalogue::store::CatalogueRevision,
         control::{Control, view::View},
     },
     bilberryfront_decide::{
@@ -19,20 +19,20 @@
     compact_str::CompactString,
 };
 
-/// The node that is asked, as the operators see it.
+/// Handle to the node that serves the API.
 #[derive(Clone)]
-pub struct Asked {
-    /// Its control thread.
+pub struct NodeHandle {
+    /// Handle to the control thread.
     pub control: Control,
-    /// Its name.
+    /// Name of the node.
     pub name: CompactString,
-    /// Its present life.
+    /// Identifies this run of the node.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Location and addresses of the node.
     pub location: NodeLocation,
 }
 
-impl server::Control for Asked {
+impl server::Control for NodeHandle {
     fn nodes(&self) -> Nodes {
         let view = self.control.view();
         let others = view.nodes.iter().map(row);
@@ -41,23 +41,23 @@
         Nodes { revision: view.catalog.revision, nodes: rows }
     }
 
-    fn accepted(&self, numbered: Numbered) {
-        self.control.catalog(numbered);
+    fn accepted(&self, numbered: CatalogueRevision) {
+        self.control.apply_catalog(numbered);
     }
 }
 
-impl Asked {
-    /// Name of the node in this life; a life that isn't known any more has none.
-    pub(super) fn name_of(&self, life: Incarnation) -> Option<CompactString> {
-        if life == self.incarnation {
+impl NodeHandle {
+    /// Returns the name of the node with this incarnation; `None` if it is no longer known.
+    pub(super) fn name_of(&self, incarnation: Incarnation) -> Option<CompactString> {
+        if incarnation == self.incarnation {
             return Some(self.name.clone());
         }
         let view = self.control.view();
-        view.nodes.iter().find(|n| n.incarnation == life).map(|n| n.name.clone())
+        view.nodes.iter().find(|n| n.incarnation == incarnation).map(|n| n.name.clone())
     }
 
     fn own(&self, view: &View) -> NodeRow {
-        let state = match view.life {
+        let state = match view.drain {
             DrainState::Serving if view.ready => NodeState::Ready,
             DrainState::Serving => NodeState::Starting,
             DrainState::Leaving | DrainState::Refusing => NodeState::Draining,
