--- a/crates/relay/src/control/authority.rs
+++ b/crates/relay/src/control/authority.rs
@@ -1,6 +1,6 @@
 //! Certificate authority of the nodes.
 //!
-//! It is stored in the store and created by the first node. Certificates authenticate nodes on the
+//! It is kept in a row of the store and created by the first node. Certificates authenticate nodes on the
 //! network; they give no protection against users of the store, who can read the private key.
 
 use {
