--- a/crates/relay/src/control/feeds.rs
+++ b/crates/relay/src/control/feeds.rs
@@ -111,7 +111,7 @@
         };
         let fixed = |wait| Rc::new(Cell::new(wait));
         let replicated = WatchedTable::Replicated;
-        let runners_every = settings.bounds.leave().mul_f64(RUNNERS_SHARE);
+        let runners_every = settings.bounds.drain_reaction_time().mul_f64(RUNNERS_SHARE);
         watch(R::ORDERS, replicated(TableId::Operators), Duration::ZERO, &fixed(OPERATORS_WAIT));
         watch(R::RUNNERS, replicated(TableId::Runners), runners_every, &feeds.runners_wait);
         watch(R::STATUS, replicated(TableId::Statuses), Duration::ZERO, &fixed(RARE_WAIT));
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -242,7 +242,7 @@
     }
 
     /// Waits until the runner is lost; see [`Fleet::is_lost`].
-    pub async fn until_lost(&self, key: RunnerKey) {
+    pub async fn wait_until_lost(&self, key: RunnerKey) {
         loop {
             let changed = self.lost.notified();
             if self.is_lost(key) {
--- a/crates/relay/src/flow/generation.rs
+++ b/crates/relay/src/flow/generation.rs
@@ -294,7 +294,7 @@
         };
         tokio::select! {
             tried = send => tried,
-            () = self.traffic.client.until_lost(&self.call, endpoint) => AttemptOutcome::Lost(SendError::Timeout),
+            () = self.traffic.client.wait_until_lost(&self.call, endpoint) => AttemptOutcome::Lost(SendError::Timeout),
         }
     }
 
--- a/crates/relay/src/flow/idempotent.rs
+++ b/crates/relay/src/flow/idempotent.rs
@@ -56,11 +56,11 @@
         let options = send_options(call, &endpoint, progress.tried.len());
         progress.tried.push(endpoint.key);
         let sent = traffic.client.send(call, &endpoint, &options, deadline).await;
-        let answer = evaluate(traffic, &mut progress, sent, &endpoint, deadline).await;
+        let response = evaluate(traffic, &mut progress, sent, &endpoint, deadline).await;
         if progress.tried.len() == 1 && progress.runs == 1 {
-            traffic.report_sample(call, endpoint.key, summarize(call, answer.is_some()));
+            traffic.report_sample(call, endpoint.key, summarize(call, response.is_some()));
         }
-        if let Some((parts, bytes)) = answer {
+        if let Some((parts, bytes)) = response {
             return Response::from_parts(parts, bytes.into());
         }
     }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -110,11 +110,13 @@
         .spawn(work)
         .map_err(system("start the control thread"))?;
     let bounds = &settings.bounds;
-    let mut traffic = Traffic::new(dialect, Tcp, published, bounds.allowance(), bounds.exposure());
+    let mut traffic =
+        Traffic::new(dialect, Tcp, published, bounds.retry_allowance(), bounds.exposure_bound());
     traffic.client.fleet.set_domain(&settings.domain);
     traffic.samples = Some(sample_sender.clone());
     traffic.set_metrics(&metrics);
-    let handler = Handler { traffic, drain, demand, max_addresses_ttl: settings.bounds.keep() };
+    let handler =
+        Handler { traffic, drain, demand, max_addresses_ttl: settings.bounds.max_addresses_ttl() };
     LocalSet::new().block_on(
         &runtime()?,
         serve(
--- a/crates/relay/src/runner_client.rs
+++ b/crates/relay/src/runner_client.rs
@@ -202,10 +202,10 @@
     /// Waits until a stream without events should be sent to another runner, because the runner
     /// fails its probes or has generated events that did not arrive. Probing starts earlier if
     /// another request finds the runner lost.
-    pub async fn until_lost(&self, call: &Call, endpoint: &Endpoint) {
+    pub async fn wait_until_lost(&self, call: &Call, endpoint: &Endpoint) {
         tokio::select! {
             () = sleep(call.route.objective.mul_f64(PROBE_AFTER_SHARE)) => {}
-            () = self.fleet.until_lost(endpoint.key) => {}
+            () = self.fleet.wait_until_lost(endpoint.key) => {}
         }
         let mut missed = 0;
         while missed < MAX_FAILED_PROBES {
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -110,22 +110,22 @@
     }
 
     /// Returns the time within which new requests to a draining runner must stop.
-    pub fn leave(&self) -> Duration {
+    pub fn drain_reaction_time(&self) -> Duration {
         seconds(self.leave_ms / 1_000.0)
     }
 
     /// Returns the maximum time to live of an address response.
-    pub fn keep(&self) -> Duration {
+    pub fn max_addresses_ttl(&self) -> Duration {
         seconds(self.keep)
     }
 
     /// Returns the bound on the requests of a new version during its rollout.
-    pub fn exposure(&self) -> Bound {
+    pub fn exposure_bound(&self) -> Bound {
         Bound { share: self.exposure, slack: self.trials }
     }
 
     /// Returns the bound on retries.
-    pub fn allowance(&self) -> Allowance {
+    pub fn retry_allowance(&self) -> Allowance {
         Allowance { ratio: self.ratio, slack: self.slack, window: seconds(self.window) }
     }
 }
--- a/crates/relay/src/table_sync.rs
+++ b/crates/relay/src/table_sync.rs
@@ -240,7 +240,7 @@
     ) {
         match message {
             PeerMessage::Table(update) => self.apply(now, from, update, out),
-            PeerMessage::TablePull(table) => out.extend(self.answer(now, from, table)),
+            PeerMessage::TablePull(table) => out.extend(self.respond_to_pull(now, from, table)),
             PeerMessage::StoreReport(report) => self.compare(now, from, &report, out),
             _ => {}
         }
@@ -271,7 +271,12 @@
     }
 
     /// Returns the response to a request for a table, if this node serves its tables.
-    fn answer(&self, now: Instant, from: &CompactString, table: TableId) -> Option<Action> {
+    fn respond_to_pull(
+        &self,
+        now: Instant,
+        from: &CompactString,
+        table: TableId,
+    ) -> Option<Action> {
         let mirror = &self.tables[index(table)].mirror;
         let revision = mirror.revision().filter(|_| self.served)?;
         let message = update(table, revision, true, self.grace_left(now), &mirror.rows());
