--- a/crates/decide/src/member/record.rs
+++ b/crates/decide/src/member/record.rs
@@ -59,11 +59,13 @@
     Outdated,
 }
 
+/// State of another node.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
+    /// Moment of the latest claim.
     pub(super) moment: Moment,
     pub(super) state: NodeState,
-    /// Whether it was ready before it became suspect.
+    /// Whether it is ready, or was ready before it became suspect.
     pub(super) was_ready: bool,
     /// Suspected by this node; the suspicion was sent to its watchers, but not gossiped yet.
     pub(super) awaits_refutation: bool,
@@ -127,8 +129,8 @@
         self.moment = moment;
         let changed = event(state).is_some_and(|e| self.apply(now, e));
         if changed || has_restarted || (is_lost(before) && is_lost(state)) {
-            // The newer moment is gossiped, because other nodes may still consider the node alive
-            // at that moment.
+            // The newer moment is gossiped, because other nodes may still consider the node alive,
+            // based on a claim up to that moment.
             Merged::Changed
         } else {
             Merged::Same
