--- a/src/catalogue/diff.rs
+++ b/src/catalogue/diff.rs
@@ -54,8 +54,8 @@
     flatten(part, "", &value, fields);
 }
 
-/// Collects the fields of objects, and of lists whose elements name an account. Other values are compared
-/// as a whole.
+/// Collects the fields of objects, and of lists whose elements name an account. Other values are
+/// compared as a whole.
 fn flatten(part: &str, field: &str, value: &Value, fields: &mut Fields) {
     match value {
         Value::Object(object) => {
--- a/src/catalogue/store.rs
+++ b/src/catalogue/store.rs
@@ -5,8 +5,8 @@
 //! - `catalogue/rev/N`: the catalogue of revision N, immutable;
 //! - `catalogue/log/N`: author, time, comment and apply id of revision N ([`Change`]).
 //!
-//! Revision numbers only increase and revisions are never deleted, so a delayed or repeated write can't
-//! revert an accepted catalogue.
+//! Revision numbers only increase and revisions are never deleted, so a delayed or repeated write
+//! can't revert an accepted catalogue.
 
 use {
     crate::platform::{http::PlatformError, table::Table},
@@ -24,7 +24,8 @@
 const HEAD: &str = "catalogue/head";
 /// Maximum number of times a commit is sent before its outcome is reported as unknown.
 const MAX_SENDS: u32 = 4;
-/// Pause before a commit with a lost reply is sent again, multiplied by the number of previous sends.
+/// Pause before a commit with a lost reply is sent again, multiplied by the number of previous
+/// sends.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Error of the store.
--- a/src/control.rs
+++ b/src/control.rs
@@ -130,8 +130,8 @@
     }
 }
 
-/// Withdraws a waiting request when its caller disconnects. Without it the core would grant a slot of
-/// a runner that no one releases.
+/// Withdraws a waiting request when its caller disconnects. Without it the core would grant a slot
+/// of a runner that no one releases.
 struct WithdrawOnDrop<'a> {
     control: &'a Control,
     ticket: Ticket,
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -1,5 +1,5 @@
-//! The membership task of the control thread: passes messages between the membership state machine and
-//! the peer network, and controls this node's own drain.
+//! The membership task of the control thread: passes messages between the membership state machine
+//! and the peer network, and controls this node's own drain.
 
 use {
     super::{
@@ -117,9 +117,10 @@
         self.leaving.completed.send_replace(true);
     }
 
-    /// Returns whether this node may exit. The requests in flight are checked only after the view with
-    /// [`DrainState::Refusing`] has been published: otherwise a request that arrives at the end of the
-    /// drain period could still see the node as serving, be accepted, and be aborted by the exit.
+    /// Returns whether this node may exit. The requests in flight are checked only after the view
+    /// with [`DrainState::Refusing`] has been published: otherwise a request that arrives at the
+    /// end of the drain period could still see the node as serving, be accepted, and be aborted by
+    /// the exit.
     fn is_finished(&mut self) -> bool {
         let is_refusing = self.published.load().drain == DrainState::Refusing;
         let in_flight = self.leaving.in_flight.load(Ordering::SeqCst);
--- a/src/control/moves.rs
+++ b/src/control/moves.rs
@@ -1,5 +1,6 @@
-//! Version moves: the task on the control thread that executes the outputs of the mover state machine
-//! with the table and the peers, and the handle that traffic, peers and operators use to reach it.
+//! Version moves: the task on the control thread that executes the outputs of the mover state
+//! machine with the table and the peers, and the handle that traffic, peers and operators use to
+//! reach it.
 
 mod task;
 
--- a/src/control/moves/task.rs
+++ b/src/control/moves/task.rs
@@ -234,8 +234,8 @@
     known.map(|n| n.incarnation).collect()
 }
 
-/// Sets the entry's version in the catalogue to the new one. After a conflict with an operator's change
-/// the next attempt starts from that change.
+/// Sets the entry's version in the catalogue to the new one. After a conflict with an operator's
+/// change the next attempt starts from that change.
 async fn adopt<T: Table>(
     store: &Store<T>,
     entry: &str,
--- a/src/control/pollers.rs
+++ b/src/control/pollers.rs
@@ -32,8 +32,8 @@
 const LOAD_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Maximum number of concurrent requests for load reports.
 const LOAD_CONCURRENCY: usize = 16;
-/// Maximum size of a load report, in bytes. Without it runners with endless responses, of which 16 are
-/// read concurrently, would exhaust the process's memory.
+/// Maximum size of a load report, in bytes. Without it runners with endless responses, of which 16
+/// are read concurrently, would exhaust the process's memory.
 const MAX_LOAD_BYTES: usize = 1 << 20;
 
 /// Polls the instance list continuously and sends it to the core and the membership.
@@ -116,8 +116,8 @@
     store.revision(head).await.ok()
 }
 
-/// Returns 0.8 to 1.2 times the interval at random, so that nodes that started together don't all poll
-/// the platform at the same time.
+/// Returns 0.8 to 1.2 times the interval at random, so that nodes that started together don't all
+/// poll the platform at the same time.
 fn jittered(every: Duration) -> Duration {
     every.mul_f64(rand::rng().random_range(0.8..1.2))
 }
--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -16,11 +16,11 @@
 const REQUEST_FIELD: &str = "request";
 /// Fields with the id of a runner.
 const RUNNER_FIELDS: [&str; 4] = ["runner", "holder", "replica", "former"];
-/// Time before a subject's first line in which related lines are included. An outage is logged only when it
-/// starts, and lasts for seconds.
+/// Time before a subject's first line in which related lines are included. An outage is logged only
+/// when it starts, and lasts for seconds.
 const TIME_BEFORE: SignedDuration = SignedDuration::from_secs(10);
-/// Time after a subject's last line in which related lines are included. If a failure domain fails, the
-/// failure of its other runners is detected within this time.
+/// Time after a subject's last line in which related lines are included. If a failure domain fails,
+/// the failure of its other runners is detected within this time.
 const TIME_AFTER: SignedDuration = SignedDuration::from_millis(500);
 
 /// The subject of a history.
@@ -106,8 +106,8 @@
     }
 }
 
-/// Selects the lines that are related to a subject: about the dependencies of its instances, or about its
-/// runners, and close in time.
+/// Selects the lines that are related to a subject: about the dependencies of its instances, or
+/// about its runners, and close in time.
 struct RelatedLines {
     nodes: BTreeSet<CompactString>,
     runners: BTreeSet<CompactString>,
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -13,8 +13,8 @@
 pub struct Line {
     /// Time of the line, by the instance's clock.
     pub at: Timestamp,
-    /// Latest time of this line and of all lines before it in its file, so that a clock that is set back
-    /// doesn't change the order of the lines.
+    /// Latest time of this line and of all lines before it in its file, so that a clock that is set
+    /// back doesn't change the order of the lines.
     pub order: Timestamp,
     /// Name of the instance.
     pub node: CompactString,
@@ -43,8 +43,8 @@
 }
 
 impl Logs {
-    /// Adds the log file of one instance. `name` is used as the name of the instance unless the log contains
-    /// it.
+    /// Adds the log file of one instance. `name` is used as the name of the instance unless the log
+    /// contains it.
     pub fn add(&mut self, name: &str, text: &str) {
         let mut order = Timestamp::MIN;
         let first = self.lines.len();
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -68,8 +68,8 @@
     Busy(Holder),
     /// The key was used before with another method, path or body.
     Mismatch,
-    /// This request did not and will not run the call, and this node never sent another request with
-    /// its key. While the table is down, a request that another node sent can't be detected.
+    /// This request did not and will not run the call, and this node never sent another request
+    /// with its key. While the table is down, a request that another node sent can't be detected.
     NotRun(PlatformError),
     /// This request did not and will not run the call, but another with its key may have run it.
     Unknown,
@@ -101,8 +101,8 @@
 }
 
 impl<T: Table> Intents<T> {
-    /// Starts the tasks that commit writes and record the outcomes of dropped permits. `incarnation`
-    /// must be a new random value at each start of the node.
+    /// Starts the tasks that commit writes and record the outcomes of dropped permits.
+    /// `incarnation` must be a new random value at each start of the node.
     pub fn start(table: T, incarnation: Incarnation, limits: Limits) -> Intents<T> {
         let (dropped, receiver) = mpsc::channel(MAX_PENDING_RECORDS);
         let inner = Arc::new(Inner {
@@ -123,8 +123,8 @@
 
     /// Claims a call by inserting its row.
     ///
-    /// Runs to completion even when the caller disconnects and this future is dropped: the permit is
-    /// then dropped too, which records that the call was not run.
+    /// Runs to completion even when the caller disconnects and this future is dropped: the permit
+    /// is then dropped too, which records that the call was not run.
     pub async fn claim(&self, call: Call) -> Claim {
         self.spawn_claim(call, Event::Claim).await
     }
@@ -132,8 +132,8 @@
     /// Polls a busy call, with exponential backoff and jitter, until it has an outcome or may be
     /// claimed, or `timeout` has elapsed.
     ///
-    /// `timeout` is the longest time that a call takes. An owner whose claim is older is unlikely to
-    /// record an outcome any more, so its call is not waited for.
+    /// `timeout` is the longest time that a call takes. An owner whose claim is older is unlikely
+    /// to record an outcome any more, so its call is not waited for.
     pub async fn wait(&self, call: &Call, timeout: Duration) -> Claim {
         let deadline = Instant::now() + timeout;
         let mut pause = RETRY_PAUSES.0;
@@ -156,7 +156,8 @@
 
     /// Returns the recorded state of a call that this request won't claim, for example because no
     /// runner is available. Costs one read and no write, and never grants a permit.
-    /// [`Claim::NotRun`] means that no request ran the call, as far as the table and this node know.
+    /// [`Claim::NotRun`] means that no request ran the call, as far as the table and this node
+    /// know.
     ///
     /// Without it the retry of a call that did run would be rejected as "not run" if its runner has
     /// failed in the meantime, and the caller would send the call again under a new key.
@@ -164,9 +165,9 @@
         self.inner.peek(call).await
     }
 
-    /// Records the outcome of a call. Waits for at most [`Limits::reply_timeout`] and returns whether
-    /// the outcome is recorded by then; attempts continue in the background for up to a minute, even
-    /// if this future is dropped.
+    /// Records the outcome of a call. Waits for at most [`Limits::reply_timeout`] and returns
+    /// whether the outcome is recorded by then; attempts continue in the background for up to a
+    /// minute, even if this future is dropped.
     pub async fn settle(&self, permit: Permit, outcome: Outcome) -> bool {
         let Some(held) = permit.release() else { return false };
         let inner = self.inner.clone();
--- a/src/intents/batch.rs
+++ b/src/intents/batch.rs
@@ -40,8 +40,8 @@
     /// Maximum number of queued writes.
     pub queue: usize,
     /// Age at which a queued write is rejected. Its caller would not wait longer. Besides, a write
-    /// that is hours old, as in a process that was paused, may expect the revision of a row that was
-    /// swept in the meantime, and that revision may belong to another row now.
+    /// that is hours old, as in a process that was paused, may expect the revision of a row that
+    /// was swept in the meantime, and that revision may belong to another row now.
     pub timeout: Duration,
     /// Maximum time to wait for a commit or a read; after it the reply counts as lost.
     pub reply_timeout: Duration,
@@ -296,9 +296,9 @@
         state.stats.rows += rows as u64;
     }
 
-    /// Counts a failure. If the breaker is then open, removes and returns the queued writes, which are
-    /// rejected too: they would wait for one timeout after another while their callers could have
-    /// used another node.
+    /// Counts a failure. If the breaker is then open, removes and returns the queued writes, which
+    /// are rejected too: they would wait for one timeout after another while their callers could
+    /// have used another node.
     fn record_failure(&self, timed_out: bool) -> VecDeque<QueuedWrite> {
         let mut state = self.shared.lock();
         state.stats.failed += 1;
@@ -311,8 +311,8 @@
     }
 }
 
-/// Treats a reply with another number of rows than the commit as lost: its results can't be assigned
-/// to rows.
+/// Treats a reply with another number of rows than the commit as lost: its results can't be
+/// assigned to rows.
 fn check_row_count(result: Result<Committed>, rows: usize) -> Result<Committed> {
     let committed = result?;
     match committed.results.len() == rows {
--- a/src/intents/permit.rs
+++ b/src/intents/permit.rs
@@ -32,8 +32,8 @@
 
 /// The right to send a call once. Not `Clone`; returned with [`super::Intents::settle`].
 ///
-/// If it is dropped instead, for example because the caller disconnected, the outcome is recorded as
-/// "not run" if [`Permit::begin`] was not called, and as "unknown" otherwise.
+/// If it is dropped instead, for example because the caller disconnected, the outcome is recorded
+/// as "not run" if [`Permit::begin`] was not called, and as "unknown" otherwise.
 pub struct Permit {
     held: Option<HeldClaim>,
     abandoned: SharedClaims,
@@ -49,8 +49,9 @@
         Permit { held: Some(held), abandoned, dropped }
     }
 
-    /// Returns whether the call may be sent; must be called immediately before sending. If it returns
-    /// `false`, the claim is too old to send the call safely: settle with [`Outcome::NotRun`].
+    /// Returns whether the call may be sent; must be called immediately before sending. If it
+    /// returns `false`, the claim is too old to send the call safely: settle with
+    /// [`Outcome::NotRun`].
     pub fn begin(&mut self) -> bool {
         let Some(held) = &mut self.held else { return false };
         step(&mut held.lifecycle, Event::Send(Instant::now()), &self.abandoned) == Action::Send
--- a/src/intents/sweep.rs
+++ b/src/intents/sweep.rs
@@ -1,8 +1,8 @@
 //! Deletion of rows that are older than their retention period.
 //!
 //! The row keys are digests, so a prefix of four hex digits selects 1/65,536 of them. The sweeper
-//! reads one such shard at a time, in a cycle: a single node covers all shards in a day at 0.76 reads
-//! per second.
+//! reads one such shard at a time, in a cycle: a single node covers all shards in a day at 0.76
+//! reads per second.
 
 use {
     super::call::PREFIX,
@@ -20,8 +20,8 @@
 /// Maximum number of rows read from a shard at a time. The rest is deleted in the next cycle.
 const MAX_ROWS: u32 = 1024;
 
-/// Deletes the expired rows of shard `shard` modulo [`SHARDS`] and returns their number. `now` is in
-/// seconds since the Unix epoch.
+/// Deletes the expired rows of shard `shard` modulo [`SHARDS`] and returns their number. `now` is
+/// in seconds since the Unix epoch.
 pub async fn sweep<T: Table>(table: &T, shard: u32, now: u64) -> Result<usize> {
     let prefix = format_compact!("{PREFIX}{:04x}", shard % SHARDS);
     let rows = table.scan(&Scan { prefix, limit: MAX_ROWS }).await?.rows;
--- a/src/node/serve.rs
+++ b/src/node/serve.rs
@@ -104,9 +104,9 @@
 
 /// Serves until the node has drained.
 ///
-/// The HTTP server handles SIGTERM itself, and aborts what still runs 30 s later. Before that it waits for
-/// its shutdown hook and continues to accept connections, so the hook returns only when the last stream has
-/// ended.
+/// The HTTP server handles SIGTERM itself, and aborts what still runs 30 s later. Before that it
+/// waits for its shutdown hook and continues to accept connections, so the hook returns only when
+/// the last stream has ended.
 async fn serve(shared: Shared, router: Router, listener: TcpListener) -> Result<()> {
     let listener = tokio::net::TcpListener::from_std(listener).map_err(system_error("listen"))?;
     let leaving = shared.leaving;
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -23,8 +23,8 @@
 
 /// Maximum time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum time to wait for a response. The node may have to retry after lost replies of the platform, and
-/// waits up to 20 s for the write of a move.
+/// Maximum time to wait for a response. The node may have to retry after lost replies of the
+/// platform, and waits up to 20 s for the write of a move.
 const TIMEOUT: Duration = Duration::from_secs(25);
 /// Maximum number of times a proposal is sent if responses are lost.
 const MAX_SENDS: u32 = 3;
@@ -64,10 +64,10 @@
 
     /// Applies a new catalogue.
     ///
-    /// A response can be lost if the node stops after it accepted the change. Sending the same proposal
-    /// again is safe: its apply id makes the store return the first outcome. After a lost response, the
-    /// error "nothing was done" applies to the later send only and would mislead the operator, so the first
-    /// error is returned unless a send is accepted or reports a conflict.
+    /// A response can be lost if the node stops after it accepted the change. Sending the same
+    /// proposal again is safe: its apply id makes the store return the first outcome. After a lost
+    /// response, the error "nothing was done" applies to the later send only and would mislead the
+    /// operator, so the first error is returned unless a send is accepted or reports a conflict.
     pub async fn propose(&self, proposal: &Proposal) -> Result<Accepted> {
         let body = serde_json::to_string(proposal).expect("proposals always serialize");
         let mut first_error = None;
--- a/src/operator/deadline.rs
+++ b/src/operator/deadline.rs
@@ -27,7 +27,8 @@
 pub struct BadDeadline(String);
 
 impl Deadline {
-    /// Returns the absolute time for a request received at `now`; `None` if it is not representable.
+    /// Returns the absolute time for a request received at `now`; `None` if it is not
+    /// representable.
     pub fn from(self, now: Timestamp) -> Option<Timestamp> {
         match self {
             Deadline::At(time) => Some(time),
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -74,7 +74,8 @@
     pub to: CompactString,
     /// Deadline.
     pub by: Deadline,
-    /// Relative importance of meeting the deadline, of detecting faulty versions and of extra runners.
+    /// Relative importance of meeting the deadline, of detecting faulty versions and of extra
+    /// runners.
     #[serde(default)]
     pub weights: Weights,
     /// Whether to start although the deadline is too close to collect enough evidence.
@@ -110,7 +111,8 @@
     pub left: Millis,
     /// Whether it continues although the deadline is too close to collect enough evidence.
     pub force: bool,
-    /// Relative importance of meeting the deadline, of detecting faulty versions and of extra runners.
+    /// Relative importance of meeting the deadline, of detecting faulty versions and of extra
+    /// runners.
     pub weights: Weights,
     /// State.
     pub state: MoveState,
--- a/src/operator/moves.rs
+++ b/src/operator/moves.rs
@@ -1,7 +1,7 @@
 //! The operators' API for version moves.
 //!
-//! Every node provides it: the rows of all moves are in the table, which every node reads, and a start is
-//! a conditional write that any node can perform.
+//! Every node provides it: the rows of all moves are in the table, which every node reads, and a
+//! start is a conditional write that any node can perform.
 
 use {
     super::{
--- a/src/operator/refusal.rs
+++ b/src/operator/refusal.rs
@@ -100,7 +100,8 @@
 }
 
 impl Refusal {
-    /// Creates the rejection of a deadline that is too close at `now` for a move that takes `takes`.
+    /// Creates the rejection of a deadline that is too close at `now` for a move that takes
+    /// `takes`.
     pub fn late(now: Timestamp, takes: Duration) -> Refusal {
         // Rounded up, so that the reported time is accepted as a deadline.
         let earliest = now.checked_add(takes + Duration::from_secs(1)).unwrap_or(Timestamp::MAX);
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -13,8 +13,8 @@
     jiff::Timestamp,
 };
 
-/// Formats the id of a move for operators. A JSON number would not do: many JSON parsers round 64-bit
-/// numbers.
+/// Formats the id of a move for operators. A JSON number would not do: many JSON parsers round
+/// 64-bit numbers.
 pub(super) fn id(id: MoveId) -> CompactString {
     format_compact!("{:016x}", id.0)
 }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -31,7 +31,8 @@
     Lost(String),
 }
 
-/// Maximum size of a response, in bytes. At design size an instance list has 2 MiB, a catalogue less.
+/// Maximum size of a response, in bytes. At design size an instance list has 2 MiB, a catalogue
+/// less.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// Client for a service of the platform.
@@ -44,8 +45,8 @@
 }
 
 impl Service {
-    /// Creates a client for the service at `base`. A call that takes longer than `timeout` fails with
-    /// [`PlatformError::Lost`].
+    /// Creates a client for the service at `base`. A call that takes longer than `timeout` fails
+    /// with [`PlatformError::Lost`].
     pub fn new(base: CompactString, timeout: Duration) -> Service {
         let mut builder = Client::builder();
         builder.set_connect_timeout(CONNECT_TIMEOUT);
@@ -88,7 +89,8 @@
             let bytes = body.collect().await.map_err(lost)?.to_bytes();
             match status {
                 StatusCode::OK => serde_json::from_slice(&bytes).map_err(lost),
-                // Other server errors, such as those of a gateway, may occur after the call took effect.
+                // Other server errors, such as those of a gateway, may occur after the call took
+                // effect.
                 _ if status.is_server_error() && status != StatusCode::SERVICE_UNAVAILABLE => {
                     Err(PlatformError::Lost(format!("status {status}")))
                 }
@@ -112,8 +114,8 @@
 /// Returns whether the client failed before it could send a byte of the request.
 ///
 /// The client reports a failed connection attempt as a failed request, like a connection that broke
-/// later. Only the former has an I/O error as its direct source: once the connection is established, the
-/// HTTP library wraps every error in its own type.
+/// later. Only the former has an I/O error as its direct source: once the connection is
+/// established, the HTTP library wraps every error in its own type.
 pub(crate) fn is_unsent(error: &ClientError) -> bool {
     match error.kind() {
         ErrorKind::Connect | ErrorKind::Builder | ErrorKind::LoadBalance => true,
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -72,8 +72,8 @@
 impl InFlight {
     /// Counts a request in `in_flight`, or rejects it if the node doesn't accept new requests.
     pub fn new(control: &Control, in_flight: &Arc<AtomicUsize>) -> Result<InFlight> {
-        // Counted before the view is loaded: the node exits only when it rejects requests and the count
-        // is zero, so a request that was accepted can't be missed and aborted.
+        // Counted before the view is loaded: the node exits only when it rejects requests and the
+        // count is zero, so a request that was accepted can't be missed and aborted.
         in_flight.fetch_add(1, Ordering::SeqCst);
         let guard = InFlight(in_flight.clone());
         let view = control.view();
--- a/src/traffic/body.rs
+++ b/src/traffic/body.rs
@@ -14,14 +14,14 @@
 /// A result whose error is the response to the caller.
 pub type Result<T> = std::result::Result<T, Problem>;
 
-/// Maximum time to receive a body. Without it a caller that sends a byte now and then would hold memory
-/// indefinitely.
+/// Maximum time to receive a body. Without it a caller that sends a byte now and then would hold
+/// memory indefinitely.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Reads the whole body, of at most `limit` bytes.
 pub async fn read(body: Body, limit: u32) -> Result<Bytes> {
-    // A body whose declared length is too large is rejected before it is received: receiving it could not
-    // change the result.
+    // A body whose declared length is too large is rejected before it is received: receiving it
+    // could not change the result.
     if body.size_hint().lower() > limit.into() {
         return Err(too_large(limit));
     }
--- a/src/traffic/chooser.rs
+++ b/src/traffic/chooser.rs
@@ -45,14 +45,15 @@
         self.split.as_ref().map(|s| s.version(self.choice))
     }
 
-    /// Returns the trial of the request's first attempt, once. The version of later attempts isn't chosen
-    /// at random, so their results would bias the comparison.
+    /// Returns the trial of the request's first attempt, once. The version of later attempts isn't
+    /// chosen at random, so their results would bias the comparison.
     pub fn trial(&mut self) -> Option<Trial> {
         self.trial.take()
     }
 
-    /// Changes the choice from the new version to the old one, and returns whether it was the new one.
-    /// A caller that has received nothing yet need not be affected by a version that can't serve it.
+    /// Changes the choice from the new version to the old one, and returns whether it was the new
+    /// one. A caller that has received nothing yet need not be affected by a version that can't
+    /// serve it.
     pub fn fall_back(&mut self) -> bool {
         std::mem::replace(&mut self.choice.new, false)
     }
--- a/src/traffic/completions.rs
+++ b/src/traffic/completions.rs
@@ -212,8 +212,8 @@
     Completion { id: request, model, choices: vec![choice], usage }
 }
 
-/// Responds with a stream. The head is sent with the first piece, so that a request that gets no runner
-/// is rejected with its own status.
+/// Responds with a stream. The head is sent with the first piece, so that a request that gets no
+/// runner is rejected with its own status.
 async fn respond_stream<E: Engines>(
     mut driver: Driver<E>,
     mut meter: Meter,
--- a/src/traffic/fallback.rs
+++ b/src/traffic/fallback.rs
@@ -1,4 +1,5 @@
-//! Rejection of requests before a handler runs: unknown paths, unsupported methods, oversized headers.
+//! Rejection of requests before a handler runs: unknown paths, unsupported methods, oversized
+//! headers.
 
 use {
     super::problem::{self, Kind, not_run},
@@ -8,8 +9,8 @@
     },
 };
 
-/// Maximum total size of header names and values, in bytes. The HTTP library accepts 400 KiB and 100
-/// lines, which would amount to gigabytes for 32,000 concurrent requests.
+/// Maximum total size of header names and values, in bytes. The HTTP library accepts 400 KiB and
+/// 100 lines, which would amount to gigabytes for 32,000 concurrent requests.
 const MAX_HEADER_BYTES: usize = 16 << 10;
 
 /// Rejects a request whose headers are too large, for any path.
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -23,7 +23,8 @@
 pub struct Lease {
     /// The grant.
     pub grant: Grant,
-    /// Result so far. Initially `Cancelled`: a drop at that point means that the caller disconnected.
+    /// Result so far. Initially `Cancelled`: a drop at that point means that the caller
+    /// disconnected.
     pub verdict: Verdict,
     /// Time from the grant to the first token or to the head of the response.
     pub first: Option<Duration>,
@@ -31,8 +32,8 @@
     pub will_retry: bool,
     /// Whether the runner sent a complete response with a server error.
     pub failed: bool,
-    /// Time spent waiting for tokens after the first. It excludes back-pressure from a slow caller, which
-    /// must not count against the runner.
+    /// Time spent waiting for tokens after the first. It excludes back-pressure from a slow caller,
+    /// which must not count against the runner.
     pub waited: Duration,
     trial: Option<Trial>,
     control: Control,
--- a/src/traffic/meter.rs
+++ b/src/traffic/meter.rs
@@ -6,8 +6,8 @@
     tokio::time::Instant,
 };
 
-/// The metrics of a request. If it is dropped before its end, the request counts as abandoned by its
-/// caller.
+/// The metrics of a request. If it is dropped before its end, the request counts as abandoned by
+/// its caller.
 pub struct Meter {
     metrics: Metrics,
     since: Instant,
--- a/src/traffic/send.rs
+++ b/src/traffic/send.rs
@@ -2,8 +2,8 @@
 //!
 //! A request of which bytes may have been sent is never sent again, neither here nor by the HTTP
 //! client's connection pool: each call uses a new connection, which is closed afterwards. On a
-//! kept-alive connection that the runner is closing, the request could be lost without an indication
-//! whether it ran, and every such call would end as "unknown".
+//! kept-alive connection that the runner is closing, the request could be lost without an
+//! indication whether it ran, and every such call would end as "unknown".
 
 use {
     crate::platform::http::is_unsent,
@@ -76,8 +76,9 @@
 
 /// Sends calls to runners; tests replace it by a fake.
 pub trait Exchange: Clone + Send + Sync + 'static {
-    /// Sends the call and waits at most `wait` for the complete response. Dropping this future closes
-    /// the connection, although the call may have run: spawn it if the caller may disconnect.
+    /// Sends the call and waits at most `wait` for the complete response. Dropping this future
+    /// closes the connection, although the call may have run: spawn it if the caller may
+    /// disconnect.
     fn send(&self, call: Outgoing, wait: Duration) -> impl Future<Output = Sent> + Send;
 }
 
@@ -110,8 +111,9 @@
         remove_hop_by_hop(&mut headers);
         headers.remove(HOST);
         headers.remove(CONTENT_LENGTH);
-        // Disabling idle connections in the pool isn't enough: it still passes a connection that becomes
-        // idle to a request that waits for a new one. A connection with `close` never becomes idle.
+        // Disabling idle connections in the pool isn't enough: it still passes a connection that
+        // becomes idle to a request that waits for a new one. A connection with `close` never
+        // becomes idle.
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
         let mut request = self.client.request(method, url).body(Body::from(body));
         request.headers_mut().extend(headers);
--- a/src/traffic/services/once.rs
+++ b/src/traffic/services/once.rs
@@ -27,18 +27,18 @@
 
 /// Maximum number of runners tried while no connection can be established.
 const MAX_ATTEMPTS: u32 = 3;
-/// Time after which no further runner is tried. A connection time-out takes a second, and the table may
-/// be slow: three attempts could take seven seconds, in which the caller could have retried at a node that
-/// reaches more runners.
+/// Time after which no further runner is tried. A connection time-out takes a second, and the table
+/// may be slow: three attempts could take seven seconds, in which the caller could have retried at
+/// a node that reaches more runners.
 const ATTEMPTS_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// `Retry-After` for a call whose outcome isn't known yet.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Runs a call at most once, or returns its recorded outcome.
 ///
-/// The call continues if the caller disconnects: an aborted call would be recorded as `unknown` although
-/// its runner responds a moment later, and the caller's retry could never get that response. `guard` is
-/// held until the call has ended, so that the node doesn't exit before.
+/// The call continues if the caller disconnects: an aborted call would be recorded as `unknown`
+/// although its runner responds a moment later, and the caller's retry could never get that
+/// response. `guard` is held until the call has ended, so that the node doesn't exit before.
 pub async fn run<T: Table, X: Exchange>(
     services: Services<T, X>,
     job: Job,
@@ -87,8 +87,8 @@
     Err(problem::with_retry_after(problem, RETRY_AFTER))
 }
 
-/// Returns the result of a call for which no runner is available. An earlier request with its key may
-/// have run, in which case `problem` would wrongly report it as "not run".
+/// Returns the result of a call for which no runner is available. An earlier request with its key
+/// may have run, in which case `problem` would wrongly report it as "not run".
 async fn no_runner<T: Table, X: Exchange>(
     services: &Services<T, X>,
     call: &Call,
--- a/src/traffic/services/repeat.rs
+++ b/src/traffic/services/repeat.rs
@@ -33,7 +33,8 @@
     let mut avoid: Option<RunnerKey> = None;
     let mut chooser = job.chooser(&services.control.view());
     let timeout = Duration::from_millis(job.limits.call_ms.into());
-    // The timeout starts with the first granted runner: waiting for the grant has a limit of its own.
+    // The timeout starts with the first granted runner: waiting for the grant has a limit of its
+    // own.
     let mut deadline = None;
     for attempt in 1..=MAX_ATTEMPTS {
         let pin = chooser.version().cloned();
@@ -77,9 +78,9 @@
 /// Returns the timeout of an attempt: half of the time left for the call, or all of it for the last
 /// attempt.
 ///
-/// A paused runner accepts a call and doesn't respond. With the full timeout for each attempt, the caller
-/// would wait three times as long as the entry allows; with all of the time for the first attempt, no
-/// other runner could respond instead.
+/// A paused runner accepts a call and doesn't respond. With the full timeout for each attempt, the
+/// caller would wait three times as long as the entry allows; with all of the time for the first
+/// attempt, no other runner could respond instead.
 fn attempt_timeout(left: Duration, attempt: u32) -> Duration {
     if attempt < MAX_ATTEMPTS { left / 2 } else { left }
 }
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -110,8 +110,8 @@
     pub async fn next(&mut self) -> Option<Piece> {
         while !self.has_ended {
             let step = match self.current.take() {
-                // Boxed because the HTTP client's future takes several kilobytes, which the stream would
-                // otherwise hold as long as it lasts.
+                // Boxed because the HTTP client's future takes several kilobytes, which the stream
+                // would otherwise hold as long as it lasts.
                 None => Box::pin(self.start_attempt()).await,
                 Some(attempt) => self.read(attempt).await,
             };
@@ -250,8 +250,8 @@
         Some(Piece::Finish(finish.reason))
     }
 
-    /// Handles a failed attempt: prepares another one, unless the response is complete or no retry is
-    /// allowed.
+    /// Handles a failed attempt: prepares another one, unless the response is complete or no retry
+    /// is allowed.
     fn on_failure(&mut self, failure: Failure, mut lease: Lease) -> Option<Piece> {
         let verdict = match failure {
             Failure::Lost(verdict) => verdict,
@@ -284,9 +284,10 @@
         None
     }
 
-    /// Handles a rejection by the core: starts over if no token was delivered and another version may
-    /// serve the request, otherwise ends the generation. A request rejected by the retry budget is not
-    /// started over: that would bypass the budget, and the retries would overload the remaining runners.
+    /// Handles a rejection by the core: starts over if no token was delivered and another version
+    /// may serve the request, otherwise ends the generation. A request rejected by the retry budget
+    /// is not started over: that would bypass the budget, and the retries would overload the
+    /// remaining runners.
     fn on_rejection(&mut self, rejection: &Rejection) -> Option<Piece> {
         let has_no_runner = rejection.reason == Reason::NoRunner;
         let can_restart = self.generation.try_restart() || self.generation.pin().is_none();
--- a/src/traffic/stream/job.rs
+++ b/src/traffic/stream/job.rs
@@ -48,7 +48,8 @@
     pub prompt: String,
     /// XXH64 of the prompt's prefix.
     pub prefix: u64,
-    /// Class and size of the prompt: kinds of request that are compared separately during a version move.
+    /// Class and size of the prompt: kinds of request that are compared separately during a version
+    /// move.
     pub route: CompactString,
     /// Maximum number of tokens of the complete response.
     pub max: u32,
--- a/src/traffic/stream/open.rs
+++ b/src/traffic/stream/open.rs
@@ -19,8 +19,8 @@
 }
 
 impl<S: Source> OpenAttempt<S> {
-    /// Waits for the next event. The timeout covers only the time spent here: back-pressure from a slow
-    /// caller must not count against the runner.
+    /// Waits for the next event. The timeout covers only the time spent here: back-pressure from a
+    /// slow caller must not count against the runner.
     pub(super) async fn wait(&mut self, limits: &Limits) -> Result<RunnerEvent> {
         if let Some(event) = self.pending.take() {
             return event;
--- a/src/traffic/upstream.rs
+++ b/src/traffic/upstream.rs
@@ -53,7 +53,8 @@
     /// An open stream.
     type Stream: Source;
 
-    /// Sends the request to the runner at `url`, and waits at most `wait` for the head of the response.
+    /// Sends the request to the runner at `url`, and waits at most `wait` for the head of the
+    /// response.
     fn open(
         &self,
         url: &str,
--- a/src/traffic/upstream/events.rs
+++ b/src/traffic/upstream/events.rs
@@ -1,9 +1,9 @@
 //! Splits a runner's response body into complete server-sent events for the library's reader.
 //!
-//! This works around four faults of the reader. It decodes invalid UTF-8 lossily, so that a token would
-//! reach the caller altered. It treats a CRLF that is split across two frames as two line ends, which ends
-//! an event early. It buffers an unterminated event without a limit. It moves its whole buffer for every
-//! line, which takes quadratic time for a large frame.
+//! This works around four faults of the reader. It decodes invalid UTF-8 lossily, so that a token
+//! would reach the caller altered. It treats a CRLF that is split across two frames as two line
+//! ends, which ends an event early. It buffers an unterminated event without a limit. It moves its
+//! whole buffer for every line, which takes quadratic time for a large frame.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -35,8 +35,8 @@
 
 /// A body in which each frame is one event, including its blank line.
 ///
-/// An incomplete event at the end of the body is discarded, as the specification of server-sent events
-/// requires.
+/// An incomplete event at the end of the body is discarded, as the specification of server-sent
+/// events requires.
 pub struct EventFrames {
     body: Body,
     /// Received bytes that were not scanned yet.
