--- a/examples/intents.rs
+++ b/examples/intents.rs
@@ -130,7 +130,7 @@
         calls.spawn(call(intents.clone(), number, claims.clone()));
     }
     sleep_until(end).await;
-    let sizes = table.state().sizes.clone();
+    let sizes = table.state().commit_sizes.clone();
     let refused = calls.join_all().await.into_iter().filter(|ran| !ran).count() as u64;
     let claims = claims.lock().expect("no call panics").clone();
     Outcomes { claims, refused, sizes }
--- a/tests/fakes/table.rs
+++ b/tests/fakes/table.rs
@@ -50,7 +50,7 @@
     /// Fault of every other exchange.
     pub(crate) always: Option<Fault>,
     /// Rows of each commit so far.
-    pub(crate) sizes: Vec<usize>,
+    pub(crate) commit_sizes: Vec<usize>,
 }
 
 impl FakeTable {
@@ -85,7 +85,7 @@
     async fn commit(&self, commit: &Commit) -> Result<Committed> {
         let fault = {
             let mut state = self.state();
-            state.sizes.push(commit.writes.len());
+            state.commit_sizes.push(commit.writes.len());
             let always = state.always;
             state.commits.pop_front().or(always).unwrap_or(Fault::Fine)
         };
--- a/tests/once_intents.rs
+++ b/tests/once_intents.rs
@@ -337,7 +337,7 @@
     let a = node(&table, 1);
     let keys: Vec<String> = (0..300).map(|n| n.to_string()).collect();
     join_all(keys.iter().map(|k| a.claim(call(k)))).await;
-    let sizes = table.state().sizes.clone();
+    let sizes = table.state().commit_sizes.clone();
     assert!(sizes.len() <= 3, "{sizes:?}");
     assert!(sizes.iter().all(|n| *n <= Limits::default().rows));
 }
--- a/tests/once_peek.rs
+++ b/tests/once_peek.rs
@@ -43,7 +43,7 @@
     a.settle(permit, receipt()).await;
     assert!(matches!(b.peek(&call(b"1")).await, Claim::Outcome(o) if o == receipt()));
     assert!(matches!(b.peek(&call(b"2")).await, Claim::Mismatch));
-    assert_eq!(table.state().sizes.len(), 2, "a peek writes nothing");
+    assert_eq!(table.state().commit_sizes.len(), 2, "a peek writes nothing");
 }
 
 /// The table fails too. The answer comes at once.
