--- a/tests/auth.rs
+++ b/tests/auth.rs
@@ -1,4 +1,4 @@
-//! Whose key a request carries.
+//! Authentication of callers.
 
 use {
     bilberryfront::traffic::auth,
@@ -7,10 +7,10 @@
     http::{HeaderMap, HeaderValue, header::AUTHORIZATION},
 };
 
-/// A caller asks a node for addresses that was replaced during an outage of the table and has no
-/// catalogue. Its key is good, so it must not hear that no account has it: it would not come back.
+/// Guards against a 401 from a node without a catalogue, such as one that was replaced during an
+/// outage of the table service. The key may be valid, and a caller that gets 401 would not retry.
 #[test]
-fn a_node_without_a_catalogue_judges_no_key() {
+fn a_node_without_a_catalogue_rejects_no_key() {
     let key = HeaderValue::from_static("Bearer good");
     let headers = HeaderMap::from_iter([(AUTHORIZATION, key)]);
     let problem = auth::account(&Catalog::default(), &headers).unwrap_err();
--- a/tests/catalogue.rs
+++ b/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! Catalogue files: good ones are accepted, bad ones are refused with file, line and advice.
+//! Catalogue files: valid ones are accepted, invalid ones are rejected with file, line and help.
 
 #[path = "support/invalid_files.rs"]
 mod invalid_files;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn check_knows_a_catalogue_by_its_content() {
+fn check_detects_a_catalogue_by_its_content() {
     let folder = folder::folder("check_catalogue");
     let text = data("catalogue").into_iter().find(|(n, _)| n == "good.jsonc").unwrap().1;
     fs::write(folder.join("good.jsonc"), text).unwrap();
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn bad_catalogues_are_refused_with_file_line_and_advice() {
+fn invalid_catalogues_are_rejected_with_file_line_and_help() {
     assert!(check_invalid_files(&folder::folder("bad_catalogues"), "catalogue") >= 12);
 }
 
 #[test]
-fn a_catalogue_of_more_accounts_than_a_node_holds_is_refused() {
+fn a_catalogue_with_too_many_accounts_is_rejected() {
     let mut doc = good();
     let account =
         |i| Account { name: format!("account-{i}").into(), keys: vec![format!("{i:064x}").into()] };
@@ -52,10 +52,10 @@
     assert_eq!(doc.check(), []);
 }
 
-/// A file that was cut, or the wrong file, can still be a catalogue: an empty one. In force it would
-/// stop all serving at once, so it is refused.
+/// Guards against an empty catalogue, such as a truncated or a wrong file: in force, it would cause
+/// the rejection of every request.
 #[test]
-fn an_empty_catalogue_is_refused() {
+fn an_empty_catalogue_is_rejected() {
     let faults: Vec<_> = CatalogDoc::default().check().iter().map(ToString::to_string).collect();
     assert_eq!(faults, ["accounts: the list is empty", "entries: the list is empty"]);
 }
@@ -85,16 +85,16 @@
     after.entries[0].accounts.remove(0);
     after.entries[1].version = "8".into();
     after.accounts[1].name = "checkers".into();
-    let told: Vec<_> = diff(&good(), &after)
+    let text: Vec<_> = diff(&good(), &after)
         .into_iter()
         .map(|d| {
             let value = |v: Option<String>| v.unwrap_or_else(|| "-".into());
             format!("{}, {}: {} to {}", d.part, d.field, value(d.before), value(d.after))
         })
-        .filter(|told| !told.contains("keys"))
+        .filter(|text| !text.contains("keys"))
         .collect();
     assert_eq!(
-        told,
+        text,
         [
             "account checkers, name: - to checkers",
             "account verification, name: verification to -",
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_order_of_a_file_is_no_difference() {
+fn the_order_of_a_file_does_not_matter() {
     let mut after = good();
     after.entries.reverse();
     after.accounts.reverse();
--- a/tests/catalogue_apply.rs
+++ b/tests/catalogue_apply.rs
@@ -1,4 +1,4 @@
-//! The operators' commands against a node's operators' face, each in its own process.
+//! The operator commands as processes, against the operator API of a node.
 
 #[path = "support/data.rs"]
 mod data;
@@ -34,7 +34,7 @@
 
 const KEY: &str = "operators-key";
 
-/// A node that only remembers what it was told.
+/// A node that only records the accepted revisions.
 #[derive(Clone, Default)]
 struct FakeNode {
     accepted: Arc<Mutex<Vec<CatalogueRevision>>>,
@@ -57,7 +57,7 @@
     }
 }
 
-struct Bench {
+struct Fixture {
     folder: PathBuf,
     url: String,
     table: FakeTable,
@@ -65,8 +65,8 @@
     _runtime: Runtime,
 }
 
-impl Bench {
-    fn start(test: &str) -> Bench {
+impl Fixture {
+    fn start(test: &str) -> Fixture {
         let folder = folder::folder(test);
         for (name, text) in data::data("catalogue") {
             fs::write(folder.join(name), text).unwrap();
@@ -76,14 +76,14 @@
         let runtime = Runtime::new().unwrap();
         let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).unwrap();
         let url = format!("http://{}", listener.local_addr().unwrap());
-        let face = OperatorApi {
+        let api = OperatorApi {
             store: Store::new(table.clone()),
             keys: Keys::new(vec![digest("another"), digest(KEY)]),
             control: node.clone(),
         };
-        let server = Server::new(router(face));
+        let server = Server::new(router(api));
         runtime.spawn(async { server.run(DefaultIncoming::from(listener)).await.unwrap() });
-        Bench { folder, url, table, node, _runtime: runtime }
+        Fixture { folder, url, table, node, _runtime: runtime }
     }
 
     fn run(&self, args: &[&str]) -> Outcome {
@@ -100,19 +100,19 @@
 }
 
 #[test]
-fn a_catalogue_is_compared_applied_and_told() {
-    let bench = Bench::start("apply_whole");
-    assert_eq!(bench.run(&["catalogue", "diff", "good.jsonc"]).code, Some(1));
-    let outcome = bench.run(&["catalogue", "apply", "good.jsonc", "--comment", "first"]);
+fn a_catalogue_is_compared_and_applied() {
+    let fixture = Fixture::start("apply_whole");
+    assert_eq!(fixture.run(&["catalogue", "diff", "good.jsonc"]).code, Some(1));
+    let outcome = fixture.run(&["catalogue", "apply", "good.jsonc", "--comment", "first"]);
     assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
     assert!(outcome.stdout.ends_with("revision 1 is accepted\n"), "{}", outcome.stdout);
-    let accepted = bench.node.accepted.lock().unwrap().clone();
+    let accepted = fixture.node.accepted.lock().unwrap().clone();
     assert_eq!((accepted.len(), accepted[0].revision), (1, 1));
 
-    let outcome = bench.run(&["catalogue", "diff", "good.jsonc"]);
+    let outcome = fixture.run(&["catalogue", "diff", "good.jsonc"]);
     assert_eq!((outcome.code, &*outcome.stdout), (Some(0), "no difference from revision 1\n"));
-    bench.edit("\"concurrent\": 400", "\"concurrent\": 500");
-    let outcome = bench.run(&["catalogue", "diff", "good.jsonc"]);
+    fixture.edit("\"concurrent\": 400", "\"concurrent\": 500");
+    let outcome = fixture.run(&["catalogue", "diff", "good.jsonc"]);
     assert_eq!(outcome.code, Some(1));
     for part in ["entry verify-llm", "limits.concurrent", "400", "500"] {
         assert!(outcome.stdout.contains(part), "{part}: {}", outcome.stdout);
@@ -120,47 +120,47 @@
 }
 
 #[test]
-fn what_get_shows_can_be_applied_again() {
-    let bench = Bench::start("apply_get");
-    bench.run(&["catalogue", "apply", "good.jsonc"]);
-    let shown = bench.run(&["catalogue", "get"]).stdout;
+fn the_output_of_get_can_be_applied() {
+    let fixture = Fixture::start("apply_get");
+    fixture.run(&["catalogue", "apply", "good.jsonc"]);
+    let shown = fixture.run(&["catalogue", "get"]).stdout;
     assert!(shown.starts_with("// revision 1\n"), "{shown}");
-    fs::write(bench.folder.join("shown.jsonc"), shown).unwrap();
-    let outcome = bench.run(&["catalogue", "apply", "shown.jsonc"]);
+    fs::write(fixture.folder.join("shown.jsonc"), shown).unwrap();
+    let outcome = fixture.run(&["catalogue", "apply", "shown.jsonc"]);
     assert_eq!(outcome.stdout, "revision 1 stays in force: the file says the same\n");
 }
 
 #[test]
 fn a_dry_run_changes_nothing() {
-    let bench = Bench::start("apply_dry");
-    let outcome = bench.run(&["catalogue", "apply", "good.jsonc", "--dry-run"]);
+    let fixture = Fixture::start("apply_dry");
+    let outcome = fixture.run(&["catalogue", "apply", "good.jsonc", "--dry-run"]);
     assert_eq!(outcome.code, Some(0));
     assert!(outcome.stdout.ends_with("revision 0 stays in force: this was a dry run\n"));
-    assert_eq!(bench.table.commits(), []);
+    assert_eq!(fixture.table.commits(), []);
 }
 
 #[test]
 fn history_and_nodes_are_tables_or_json() {
-    let bench = Bench::start("apply_history");
-    bench.run(&["catalogue", "apply", "good.jsonc", "--comment", "for the night desk"]);
-    let table = bench.run(&["catalogue", "history"]).stdout;
+    let fixture = Fixture::start("apply_history");
+    fixture.run(&["catalogue", "apply", "good.jsonc", "--comment", "for the night desk"]);
+    let table = fixture.run(&["catalogue", "history"]).stdout;
     for part in ["revision", "who", "comment", "for the night desk", "key "] {
         assert!(table.contains(part), "{part}: {table}");
     }
-    let json = bench.run(&["catalogue", "history", "--output", "json"]).stdout;
+    let json = fixture.run(&["catalogue", "history", "--output", "json"]).stdout;
     let past: Value = serde_json::from_str(&json).unwrap();
     assert_eq!(past[0]["comment"], "for the night desk");
-    let table = bench.run(&["nodes"]).stdout;
+    let table = fixture.run(&["nodes"]).stdout;
     assert!(table.contains("east-mids-a"), "{table}");
     assert!(table.ends_with("revision 3 is in force at the node that was asked\n"), "{table}");
     let nodes: Value =
-        serde_json::from_str(&bench.run(&["nodes", "--output", "json"]).stdout).unwrap();
+        serde_json::from_str(&fixture.run(&["nodes", "--output", "json"]).stdout).unwrap();
     assert_eq!(nodes["nodes"][0]["state"], "ready");
 }
 
 #[test]
 fn json_is_one_document_for_every_command() {
-    let bench = Bench::start("apply_json");
+    let fixture = Fixture::start("apply_json");
     let commands: [&[&str]; 5] = [
         &["catalogue", "diff", "good.jsonc"],
         &["catalogue", "apply", "good.jsonc", "--dry-run"],
@@ -169,89 +169,90 @@
         &["catalogue", "get"],
     ];
     for command in commands {
-        let stdout = bench.run(&[command, &["--output", "json"]].concat()).stdout;
+        let stdout = fixture.run(&[command, &["--output", "json"]].concat()).stdout;
         let document: Value = serde_json::from_str(&stdout).unwrap();
         assert!(document["revision"].is_u64(), "{command:?}: {stdout}");
     }
 }
 
 #[test]
-fn a_bad_file_is_refused_with_its_line_before_the_node_is_asked() {
-    let bench = Bench::start("apply_bad");
-    let outcome = bench.run(&["catalogue", "apply", "unknown-account.jsonc"]);
+fn an_invalid_file_is_rejected_before_a_request_is_sent() {
+    let fixture = Fixture::start("apply_bad");
+    let outcome = fixture.run(&["catalogue", "apply", "unknown-account.jsonc"]);
     assert_eq!(outcome.code, Some(1));
     assert!(outcome.stderr.contains("no account is named"), "{}", outcome.stderr);
-    assert_eq!(bench.table.commits(), []);
+    assert_eq!(fixture.table.commits(), []);
 }
 
 #[test]
-fn a_wrong_key_is_refused() {
-    let bench = Bench::start("apply_key");
-    fs::write(bench.folder.join("key"), "guess").unwrap();
+fn a_wrong_key_is_rejected() {
+    let fixture = Fixture::start("apply_key");
+    fs::write(fixture.folder.join("key"), "guess").unwrap();
     for command in [&["catalogue", "get"][..], &["catalogue", "history"], &["nodes"]] {
-        let outcome = bench.run(command);
+        let outcome = fixture.run(command);
         assert_eq!(outcome.code, Some(3), "{command:?}");
         assert!(outcome.stderr.contains("Wrong key"), "{}", outcome.stderr);
     }
 }
 
 #[test]
-fn a_file_made_from_an_older_revision_is_refused() {
-    let bench = Bench::start("apply_old");
-    bench.run(&["catalogue", "apply", "good.jsonc"]);
-    bench.edit("\"concurrent\": 400", "\"concurrent\": 500");
-    let outcome = bench.run(&["catalogue", "apply", "good.jsonc", "--expect", "0"]);
+fn a_file_based_on_an_older_revision_is_rejected() {
+    let fixture = Fixture::start("apply_old");
+    fixture.run(&["catalogue", "apply", "good.jsonc"]);
+    fixture.edit("\"concurrent\": 400", "\"concurrent\": 500");
+    let outcome = fixture.run(&["catalogue", "apply", "good.jsonc", "--expect", "0"]);
     assert_eq!(outcome.code, Some(3));
     assert!(outcome.stderr.contains("revision 1 is in force and not 0"), "{}", outcome.stderr);
-    let outcome = bench.run(&["catalogue", "apply", "good.jsonc", "--expect", "1"]);
+    let outcome = fixture.run(&["catalogue", "apply", "good.jsonc", "--expect", "1"]);
     assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
 }
 
-/// The table service takes the change and its reply is lost. The node settles it by the apply id,
-/// so the operator sees an accepted change and not a failure.
+/// Guards against a failure that is reported although the change took effect: the reply of the
+/// table service is lost, and the node finds the apply id in the log.
 #[test]
-fn a_lost_reply_of_the_platform_is_no_failure_for_the_operator() {
-    let bench = Bench::start("apply_lost");
-    bench.table.inject_faults([Fault::LoseReply]);
-    let outcome = bench.run(&["catalogue", "apply", "good.jsonc"]);
+fn a_lost_reply_of_the_platform_is_not_reported_as_a_failure() {
+    let fixture = Fixture::start("apply_lost");
+    fixture.table.inject_faults([Fault::LoseReply]);
+    let outcome = fixture.run(&["catalogue", "apply", "good.jsonc"]);
     assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
 }
 
-/// Every reply of the platform is lost for the whole of the first send of the proposal. The node
-/// answers that it doesn't know, and the command sends the same proposal again, which settles it.
+/// Guards against an outcome that stays unknown: all replies of the platform are lost during the
+/// first send of the proposal, the node responds that the outcome is unknown, and the command must
+/// send the same proposal again.
 #[test]
-fn an_unknown_outcome_is_settled_by_sending_the_proposal_again() {
-    let bench = Bench::start("apply_unknown");
-    bench.table.inject_faults([Fault::LoseReply, Fault::Down, Fault::Down, Fault::Down]);
-    let outcome = bench.run(&["catalogue", "apply", "good.jsonc"]);
+fn an_unknown_outcome_is_resolved_by_a_retry() {
+    let fixture = Fixture::start("apply_unknown");
+    fixture.table.inject_faults([Fault::LoseReply, Fault::Down, Fault::Down, Fault::Down]);
+    let outcome = fixture.run(&["catalogue", "apply", "good.jsonc"]);
     assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
     assert!(outcome.stdout.ends_with("revision 1 is accepted\n"), "{}", outcome.stdout);
 }
 
-/// The change takes effect, its reply is lost and the platform goes down. The first send of the
-/// proposal is answered as unknown; the next are answered "nothing was done", which is true of them
-/// and false of the first. The operator must be told that the outcome is unknown.
+/// Guards against a wrong "nothing was done". The change takes effect, its reply is lost and the
+/// platform goes down: the first send gets "unknown", the following ones get "nothing was done",
+/// which is true only of these. The command must report the outcome as unknown.
 #[test]
-fn an_outage_after_an_unknown_outcome_leaves_it_unknown() {
-    let bench = Bench::start("apply_die");
-    bench.table.inject_faults([Fault::CommitThenDown]);
-    let outcome = bench.run(&["catalogue", "apply", "good.jsonc"]);
+fn an_outage_after_an_unknown_outcome_keeps_it_unknown() {
+    let fixture = Fixture::start("apply_die");
+    fixture.table.inject_faults([Fault::CommitThenDown]);
+    let outcome = fixture.run(&["catalogue", "apply", "good.jsonc"]);
     assert_eq!(outcome.code, Some(4));
     assert!(outcome.stderr.contains("the outcome is unknown"), "{}", outcome.stderr);
     assert!(!outcome.stderr.contains("nothing was done"), "{}", outcome.stderr);
 }
 
 #[test]
-fn an_outage_of_the_platform_is_told_with_when_to_come_back() {
-    let bench = Bench::start("apply_outage");
-    bench.table.set_down(true);
-    let outcome = bench.run(&["catalogue", "apply", "good.jsonc"]);
+fn an_outage_of_the_platform_is_reported_with_a_retry_time() {
+    let fixture = Fixture::start("apply_outage");
+    fixture.table.set_down(true);
+    let outcome = fixture.run(&["catalogue", "apply", "good.jsonc"]);
     assert_eq!(outcome.code, Some(4));
     assert!(outcome.stderr.contains("try again in 5 s"), "{}", outcome.stderr);
 }
 
 #[test]
-fn a_node_that_is_not_there_is_told() {
+fn an_unreachable_node_is_reported() {
     let folder = folder::folder("apply_absent");
     fs::write(folder.join("key"), KEY).unwrap();
     let args = ["nodes", "--node", "http://127.0.0.1:1", "--key-file", "key"];
--- a/tests/catalogue_faults.rs
+++ b/tests/catalogue_faults.rs
@@ -1,6 +1,6 @@
-//! Random faults of the table service against what each operator was told.
+//! Random faults of the table service, and the outcomes that operators get.
 
-#[expect(dead_code, reason = "the tests of the commands take the service down for good")]
+#[expect(dead_code, reason = "the tests of the commands take the service down permanently")]
 #[path = "support/table.rs"]
 mod table;
 
@@ -16,15 +16,15 @@
 const SIZE: usize = 24;
 const CASES: u64 = 500;
 
-/// One operator's try to change the catalogue.
+/// An operator's attempt to change the catalogue.
 #[derive(Clone, Debug)]
-struct Try {
-    /// Faults of its commits, in order.
+struct Attempt {
+    /// Faults of the commits, in order.
     faults: Vec<Kind>,
-    /// Whether it was made from the newest revision, else from the one before.
-    fresh: bool,
-    /// Whether the operator sends it again whatever was told.
-    again: bool,
+    /// Whether it is based on the newest revision, otherwise on the one before.
+    is_current: bool,
+    /// Whether the operator sends it resend, whatever the first outcome was.
+    resend: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -35,12 +35,12 @@
     Race,
 }
 
-impl Arbitrary for Try {
-    fn arbitrary(g: &mut Gen) -> Try {
+impl Arbitrary for Attempt {
+    fn arbitrary(g: &mut Gen) -> Attempt {
         let kinds = [Kind::LoseReply, Kind::LoseCommit, Kind::Down, Kind::Race];
         let count = usize::arbitrary(g) % 6;
         let faults = (0..count).map(|_| *g.choose(&kinds).unwrap()).collect();
-        Try { faults, fresh: u8::arbitrary(g) % 4 > 0, again: bool::arbitrary(g) }
+        Attempt { faults, is_current: u8::arbitrary(g) % 4 > 0, resend: bool::arbitrary(g) }
     }
 }
 
@@ -58,8 +58,8 @@
     }
 }
 
-/// The commit that another node would send for `apply` at this moment.
-async fn rival(table: &FakeTable, apply: &str) -> Fault {
+/// Returns the commit that another node would send for `apply` now.
+async fn racing_commit(table: &FakeTable, apply: &str) -> Fault {
     let copy = table.fork();
     let store = Store::new(copy.clone());
     let head = store.head().await.unwrap();
@@ -67,35 +67,36 @@
     Fault::Race(copy.commits().pop().unwrap())
 }
 
-async fn run(tries: Vec<Try>) -> Result<(), String> {
+async fn run(attempts: Vec<Attempt>) -> Result<(), String> {
     let table = FakeTable::default();
     let store = Store::new(table.clone());
-    let mut told = Vec::new();
-    for (i, attempt) in tries.iter().enumerate() {
+    let mut outcomes = Vec::new();
+    for (i, attempt) in attempts.iter().enumerate() {
         let apply = format!("try-{i}");
         let head = store.head().await.unwrap();
-        let expected = if attempt.fresh { head } else { head.saturating_sub(1) };
+        let expected = if attempt.is_current { head } else { head.saturating_sub(1) };
         for (k, kind) in attempt.faults.iter().enumerate() {
             let fault = match kind {
                 Kind::LoseReply => Fault::LoseReply,
                 Kind::LoseCommit => Fault::LoseCommit,
                 Kind::Down => Fault::Down,
-                Kind::Race => rival(&table, &format!("rival-{i}-{k}")).await,
+                Kind::Race => racing_commit(&table, &format!("rival-{i}-{k}")).await,
             };
             table.inject_faults([fault]);
         }
-        for _ in 0..1 + u32::from(attempt.again) {
-            told.push((apply.clone(), store.apply(&doc(&apply), expected, &change(&apply)).await));
+        for _ in 0..1 + u32::from(attempt.resend) {
+            outcomes
+                .push((apply.clone(), store.apply(&doc(&apply), expected, &change(&apply)).await));
         }
         table.clear_faults();
     }
-    check(&store, &told).await
+    check(&store, &outcomes).await
 }
 
-/// The log is the truth: each outcome must agree with it, and no change may stand in it twice.
+/// Checks each outcome against the log, and that no change is in the log twice.
 async fn check(
     store: &Store<FakeTable>,
-    told: &[(String, Result<Outcome, StoreError>)],
+    outcomes: &[(String, Result<Outcome, StoreError>)],
 ) -> Result<(), String> {
     let head = store.head().await.unwrap();
     let past = store.history(u32::MAX).await.unwrap();
@@ -108,37 +109,38 @@
             return Err(format!("revision {} is not its change's", p.revision));
         }
     }
-    for (apply, outcome) in told {
+    for (apply, outcome) in outcomes {
         let made: Vec<_> = past.iter().filter(|p| p.change.apply == *apply).collect();
         let agrees = match outcome {
             Ok(Outcome::Applied(revision)) => made.iter().any(|p| p.revision == *revision),
             Ok(Outcome::Conflict(_)) => made.is_empty(),
-            Err(StoreError::Down(_)) => made.is_empty() || settled(told, apply),
+            Err(StoreError::Down(_)) => made.is_empty() || has_certain_outcome(outcomes, apply),
             Err(_) => true,
         };
         if !agrees || made.len() > 1 {
-            return Err(format!("{apply} was told {outcome:?}, the log has {made:?}"));
+            return Err(format!("{apply} was reported as {outcome:?}, the log has {made:?}"));
         }
     }
     Ok(())
 }
 
-/// Whether another send of the change was told something else than an outage.
-fn settled(told: &[(String, Result<Outcome, StoreError>)], apply: &str) -> bool {
-    told.iter().any(|(a, o)| a == apply && !matches!(o, Err(StoreError::Down(_))))
+/// Returns whether another send of the change had an outcome other than an outage.
+fn has_certain_outcome(outcomes: &[(String, Result<Outcome, StoreError>)], apply: &str) -> bool {
+    outcomes.iter().any(|(a, o)| a == apply && !matches!(o, Err(StoreError::Down(_))))
 }
 
-/// Operators change the catalogue while replies are lost before or after the effect, the service
-/// goes down and others' commits take effect first. Whoever is told "applied" finds the change in
-/// the log, whoever is told "conflict" does not, and no change is made twice or overwritten.
+/// Guards against outcomes that contradict the log. Operators change the catalogue while replies
+/// are lost before or after the commit takes effect, the service is down, and commits of other
+/// operators take effect first. A change reported as applied must be in the log, one reported as a
+/// conflict must not, and no change may be made twice or overwritten.
 #[test]
-fn what_operators_are_told_agrees_with_the_log() {
-    fn property(tries: Vec<Try>) -> Result<(), String> {
+fn outcomes_agree_with_the_log() {
+    fn property(attempts: Vec<Attempt>) -> Result<(), String> {
         let runtime = Builder::new_current_thread().enable_time().start_paused(true).build();
-        runtime.unwrap().block_on(run(tries))
+        runtime.unwrap().block_on(run(attempts))
     }
     QuickCheck::new()
         .tests(CASES)
         .rng(Gen::from_size_and_seed(SIZE, SEED))
-        .quickcheck(property as fn(Vec<Try>) -> Result<(), String>);
+        .quickcheck(property as fn(Vec<Attempt>) -> Result<(), String>);
 }
--- a/tests/catalogue_keys.rs
+++ b/tests/catalogue_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the catalogue's entries over revisions that arrive faster than they are published.
+//! Keys of catalogue entries when revisions arrive faster than they are published.
 
 use {
     bilberryfront::{
@@ -30,8 +30,8 @@
     CatalogueRevision { revision, catalogue: CatalogDoc { accounts: vec![], entries } }
 }
 
-/// Lets a control thread take the catalogues in one go, and gives what it publishes.
-async fn taken(catalogues: Vec<CatalogueRevision>) -> Arc<View> {
+/// Sends the catalogues to a control thread as one batch, and returns the view that it publishes.
+async fn published_view(catalogues: Vec<CatalogueRevision>) -> Arc<View> {
     let published = Published::default();
     let (control, receiver) = Control::new(published.clone());
     for numbered in catalogues {
@@ -42,28 +42,29 @@
     published.load()
 }
 
-/// Two revisions arrive before the control thread has published the first, the second with another
-/// entry in front. If both were resolved against the published catalogue, the new entry would get
-/// the key of the old one, and requests that wait for the old would be sent to the new one's runners.
+/// Guards against an entry key that is assigned twice. Two revisions arrive before the control
+/// thread has published the first, and the second one has a new entry in front. If both were
+/// compared with the published catalogue, the new entry would get the key of the old one, and
+/// requests that wait for the old entry would be sent to runners of the new one.
 #[tokio::test(start_paused = true)]
-async fn an_entry_keeps_its_key_over_two_quick_revisions() {
+async fn an_entry_keeps_its_key_when_two_revisions_arrive_together() {
     let first = numbered(1, &["verify-llm"]);
     let second = numbered(2, &["redactor-lm", "verify-llm"]);
     let before = Catalog::default().updated(1, &first.catalogue).entry("verify-llm");
-    let view = taken(vec![first, second]).await;
+    let view = published_view(vec![first, second]).await;
     assert_eq!(view.catalog.revision, 2);
     assert!(before.is_some());
     assert_eq!(view.catalog.entry("verify-llm"), before);
     assert_ne!(view.catalog.entry("redactor-lm"), before);
 }
 
-/// An older revision arrives late, as from a poll that was under way when a newer one was accepted.
-/// An accepted catalogue never reverts, so the older one is dropped.
+/// Guards against a catalogue that reverts when an older revision arrives late, such as from a poll
+/// that was in progress when a newer one was accepted.
 #[tokio::test(start_paused = true)]
 async fn an_older_revision_that_arrives_late_is_dropped() {
     let late = [numbered(1, &["redactor-lm"]), numbered(2, &["redactor-lm"])];
     let [older, same] = late;
-    let view = taken(vec![numbered(2, &["verify-llm"]), older, same]).await;
+    let view = published_view(vec![numbered(2, &["verify-llm"]), older, same]).await;
     assert_eq!(view.catalog.revision, 2);
     assert!(view.catalog.entry("verify-llm").is_some());
     assert!(view.catalog.entry("redactor-lm").is_none());
--- a/tests/catalogue_store.rs
+++ b/tests/catalogue_store.rs
@@ -1,4 +1,4 @@
-//! The catalogue in a table service that loses replies, is down, or takes another's commit first.
+//! The catalogue in a table service that loses replies, is down, or applies another commit first.
 
 #[expect(dead_code, reason = "other tests of the catalogue use the rest")]
 #[path = "support/table.rs"]
@@ -30,7 +30,7 @@
     (table.clone(), Store::new(table))
 }
 
-/// The commit that `apply` of another operator would send to an empty table.
+/// Returns the commit that `apply` of another operator would send to an empty table.
 async fn first_commit(name: &str) -> Commit {
     let (table, store) = store();
     store.apply(&doc(name), 0, &change(name)).await.unwrap();
@@ -57,8 +57,8 @@
     assert_eq!(store.history(1).await.unwrap(), past[..1]);
 }
 
-/// Two operators edit revision 0. The first's change is in force when the second's arrives. Taking
-/// the second would silently undo the first, so the second is told of the conflict.
+/// Guards against a change that silently undoes another one. Two operators edit revision 0, and the
+/// change of the first is in force when that of the second arrives: the second is a conflict.
 #[tokio::test(start_paused = true)]
 async fn a_change_to_an_older_revision_is_a_conflict() {
     let (_, store) = store();
@@ -68,10 +68,10 @@
     assert_eq!(store.get().await.unwrap().catalogue, doc("a"));
 }
 
-/// Two operators apply at two nodes at the same moment. Both nodes read revision 0; the other's
-/// commit takes effect between this one's read and its commit, so this one is told of the conflict.
+/// Guards against a lost conflict between two nodes. Both nodes read revision 0, and the commit of
+/// the other takes effect between the read and the commit of this one.
 #[tokio::test(start_paused = true)]
-async fn of_two_racing_changes_one_is_told_of_the_conflict() {
+async fn one_of_two_racing_changes_is_a_conflict() {
     let (table, store) = store();
     table.inject_faults([Fault::Race(first_commit("other").await)]);
     assert_eq!(store.apply(&doc("a"), 0, &change("one")).await, Ok(Outcome::Conflict(1)));
@@ -79,10 +79,11 @@
     assert!(table.commits().iter().all(|commit| commit.atomic));
 }
 
-/// The commit takes effect and its reply is lost. The operator must not be told of a failure or a
-/// conflict with the own change: the commit is sent again, conflicts, and the log shows its id.
+/// Guards against a change that is reported as failed, or as a conflict with itself, when its
+/// commit takes effect and the reply is lost. The commit is sent again, conflicts, and the log
+/// contains its apply id.
 #[tokio::test(start_paused = true)]
-async fn a_lost_reply_after_the_effect_is_no_failure() {
+async fn a_lost_reply_after_the_commit_is_not_a_failure() {
     for lost in 1..4 {
         let (table, store) = store();
         let lost_commits = (1..lost).map(|_| Fault::LoseCommit);
@@ -92,20 +93,20 @@
     }
 }
 
-/// The commit is lost on its way, and another's takes effect before it is sent again. The log shows
-/// the other's id, so this change is a conflict and not accepted.
+/// Guards against a lost commit that is reported as accepted. Another commit takes effect before it
+/// is sent again, and the log contains the other apply id, so the change is a conflict.
 #[tokio::test(start_paused = true)]
-async fn a_lost_commit_overtaken_by_another_is_a_conflict() {
+async fn a_lost_commit_after_another_one_is_a_conflict() {
     let (table, store) = store();
     table.inject_faults([Fault::LoseCommit, Fault::Race(first_commit("other").await)]);
     assert_eq!(store.apply(&doc("a"), 0, &change("one")).await, Ok(Outcome::Conflict(1)));
 }
 
-/// The operator's client lost the node's answer and sends the same proposal again, when a third
-/// operator has already made the next revision. The change is in the log as accepted, so it is told
-/// as accepted and isn't made twice.
+/// Guards against a change that is made twice, or reported as a conflict, when the operator's
+/// client lost the response and sends the same proposal again after a third operator has made the
+/// next revision. The log contains the change, so it is reported as accepted.
 #[tokio::test(start_paused = true)]
-async fn the_same_change_sent_again_is_told_its_first_outcome() {
+async fn a_repeated_change_gets_its_first_outcome() {
     let (table, store) = store();
     store.apply(&doc("a"), 0, &change("one")).await.unwrap();
     store.apply(&doc("b"), 1, &change("two")).await.unwrap();
@@ -114,10 +115,10 @@
     assert_eq!(table.commits().len(), 2);
 }
 
-/// Every reply is lost. Whether the change took effect can't be known, so the operator is told just
-/// that and not a failure; the number of sends is bounded.
+/// Guards against a failure that is reported while the outcome cannot be known because every reply
+/// is lost; the number of attempts is bounded.
 #[tokio::test(start_paused = true)]
-async fn replies_lost_for_good_leave_the_outcome_unknown() {
+async fn the_outcome_is_unknown_when_all_replies_are_lost() {
     let (table, store) = store();
     table.inject_faults([const { Fault::LoseCommit }; 8]);
     let unknown = Err(StoreError::Unknown { apply: "one".into() });
@@ -125,10 +126,10 @@
     assert_eq!(table.commits().len(), 4);
 }
 
-/// A reply is lost and then the service goes down. That it is down now says nothing of the first
-/// send, so the outcome is unknown and never "nothing was done".
+/// Guards against a wrong "nothing was done" when a reply is lost and the service goes down
+/// afterwards: the first attempt may have taken effect, so the outcome is unknown.
 #[tokio::test(start_paused = true)]
-async fn an_outage_after_a_lost_reply_leaves_the_outcome_unknown() {
+async fn the_outcome_is_unknown_when_an_outage_follows_a_lost_reply() {
     let (table, store) = store();
     table.inject_faults([Fault::LoseReply, Fault::Down, Fault::Down, Fault::Down]);
     let unknown = Err(StoreError::Unknown { apply: "one".into() });
@@ -136,9 +137,9 @@
     assert_eq!(store.head().await, Ok(1));
 }
 
-/// The service is down from the start. Nothing was done, and the operator is told so.
+/// Guards against an unknown outcome when the service is down from the start: nothing was done.
 #[tokio::test(start_paused = true)]
-async fn an_outage_is_told_and_changes_nothing() {
+async fn an_outage_is_reported_and_changes_nothing() {
     let (table, store) = store();
     table.inject_faults([Fault::Down]);
     let outcome = store.apply(&doc("a"), 0, &change("one")).await;
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -9,7 +9,7 @@
     folder::{folder, run},
 };
 
-/// Paths of all commands, such as `catalogue get`.
+/// Returns the paths of all commands, such as `catalogue get`.
 fn paths(command: &Command, path: &[String]) -> Vec<Vec<String>> {
     let inner = command.get_subcommands().flat_map(|sub| {
         let path: Vec<_> = path.iter().cloned().chain([sub.get_name().to_owned()]).collect();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_grammar_is_sound() {
+fn the_command_definition_is_valid() {
     cli::command().debug_assert();
 }
 
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn completions_know_the_subcommands_in_every_shell() {
+fn completions_contain_the_subcommands_for_every_shell() {
     let folder = folder("cli_completions");
     for shell in ["bash", "zsh", "fish"] {
         let outcome = run(&folder, &["completions", shell]);
         assert_eq!(outcome.code, Some(0), "{shell}");
         for word in ["serve", "check", "catalogue", "history", "nodes", "move", "undo", "key-file"]
         {
-            assert!(outcome.stdout.contains(word), "{shell} lacks {word}");
+            assert!(outcome.stdout.contains(word), "{word} is missing for {shell}");
         }
     }
 }
--- a/tests/cli_output.rs
+++ b/tests/cli_output.rs
@@ -1,4 +1,4 @@
-//! What people see of differences and moves.
+//! Human-readable output of differences and moves.
 
 use {
     bilberryfront::{
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_part_that_is_new_or_gone_has_one_row() {
+fn a_part_that_is_added_or_removed_has_one_row() {
     let differences = [
         difference("account desk", "keys", "", "[]"),
         difference("account desk", "name", "", "desk"),
@@ -55,7 +55,7 @@
     assert_eq!(shown[2], "1 difference from revision 3");
 }
 
-fn moving() -> MoveReport {
+fn move_report() -> MoveReport {
     let old = Side { ended: 180, failed: 0, late: 2, slow: 1 };
     let new = Side { ended: 20, failed: 1, late: 0, slow: 0 };
     let route = RouteStatus { route: "batch/long".into(), old, new, accounts: 3 };
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn a_move_tells_what_it_waits_for_and_what_comes_then() {
+fn a_move_shows_what_it_waits_for_and_the_next_step() {
     assert_eq!(
-        words(&Human.move_of(&moving())),
+        words(&Human.move_of(&move_report())),
         [
             "move 00000000000000ab of verify-llm from v1 to v2",
             "state moving, step 1 of 4",
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_move_taken_back_tells_why() {
+fn a_move_taken_back_shows_the_cause() {
     let verdict =
         MoveVerdict { cause: Cause::Failing, route: "batch/long".into(), node: "tg-2".into() };
     let report = MoveReport {
@@ -111,7 +111,7 @@
         verdict: Some(verdict),
         waiting: Waiting::Nothing,
         next: Next::Nothing,
-        ..moving()
+        ..move_report()
     };
     let shown = words(&Human.move_of(&report));
     assert_eq!(
--- a/tests/deadline.rs
+++ b/tests/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines as operators write them.
+//! Deadlines in the form that operators write.
 
 use {
     bilberryfront::operator::deadline::Deadline,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn times_and_durations_are_told_apart() {
+fn times_and_durations_are_distinguished() {
     let now = Timestamp::from_second(1_000).unwrap();
     let seconds = |text: &str| {
         let deadline: Deadline = text.parse().unwrap();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_again() {
+fn deadlines_survive_a_round_trip() {
     let time = Deadline::At(Timestamp::from_second(1_800_000_000).unwrap());
     let span = Deadline::In(SignedDuration::from_millis(90_500));
     for deadline in [time, span] {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn other_texts_are_refused_with_an_example() {
+fn invalid_texts_are_rejected_with_an_example() {
     for text in ["", "tomorrow", "30", "2026-12-03", "1 month"] {
         let error = text.parse::<Deadline>().unwrap_err().to_string();
         assert!(error.contains("1h 30m"), "{text}: {error}");
--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -1,5 +1,5 @@
-//! Decoders that face a socket, under bytes that nobody meant: errors are values, nothing panics,
-//! memory is bounded. Those of peer messages are in `peer_codec.rs`.
+//! Decoders of data from sockets, with invalid bytes: they return errors, never panic, and use
+//! bounded memory. The decoder of peer messages is tested in `peer_codec.rs`.
 
 use {
     bilberryfront::{
@@ -38,10 +38,10 @@
 };
 
 const SEED: u64 = 0xdec0de;
-/// Cases of each decoder and kind of badness.
-const RUNS: u64 = 3_000;
-/// What breaks a decoder if anything does.
-const SPICES: &[&[u8]] = &[
+/// Cases for each decoder and kind of invalid input.
+const CASES: u64 = 3_000;
+/// Fragments that are likely to break a decoder.
+const FRAGMENTS: &[&[u8]] = &[
     b"99999999999999999999999999",
     b"-1",
     b"1e999",
@@ -60,10 +60,10 @@
     b"event: finish\n",
 ];
 
-/// Feeds a decoder with random bytes, and with valid messages that were changed in a few places.
-fn feed(valid: &[&str], mut decode: impl FnMut(&[u8])) {
-    for run in 0..RUNS {
-        let mut g = Gen::from_size_and_seed(200, SEED + run);
+/// Calls a decoder with random bytes, and with valid messages that were changed in a few places.
+fn fuzz(valid: &[&str], mut decode: impl FnMut(&[u8])) {
+    for case in 0..CASES {
+        let mut g = Gen::from_size_and_seed(200, SEED + case);
         decode(&Vec::<u8>::arbitrary(&mut g));
         decode(&mutated(&mut g, valid));
     }
@@ -79,7 +79,7 @@
         match u8::arbitrary(g) % 4 {
             0 if at < bytes.len() => bytes[at] = u8::arbitrary(g),
             1 => bytes.truncate(at),
-            2 => drop(bytes.splice(at..at, g.choose(SPICES).unwrap().iter().copied())),
+            2 => drop(bytes.splice(at..at, g.choose(FRAGMENTS).unwrap().iter().copied())),
             _ => {
                 let end = (at + usize::arbitrary(g) % 20).min(bytes.len());
                 bytes.drain(at..end);
@@ -89,11 +89,11 @@
     bytes
 }
 
-fn feed_json<T: DeserializeOwned>(valid: &[&str]) {
+fn fuzz_json<T: DeserializeOwned>(valid: &[&str]) {
     for text in valid {
         assert!(serde_json::from_str::<T>(text).is_ok(), "{text}");
     }
-    feed(valid, |bytes| _ = serde_json::from_slice::<T>(bytes));
+    fuzz(valid, |bytes| _ = serde_json::from_slice::<T>(bytes));
 }
 
 #[test]
@@ -103,7 +103,7 @@
         r#"{"model": "m", "prompt": "é\n", "max_tokens": 7, "stream": true, "resume": "abc"}"#,
     ];
     assert!(valid.iter().all(|text| completions::parse(text.as_bytes()).is_ok()));
-    feed(&valid, |bytes| {
+    fuzz(&valid, |bytes| {
         if let Err(problem) = completions::parse(bytes) {
             assert_eq!((problem.status, problem.run), (400, Run::NotRun));
             assert!(problem.detail.contains("line"), "{}", problem.detail);
@@ -115,7 +115,7 @@
 fn event_ids() {
     let valid = ["0123abcd.1.77.00ff00ff00ff00ff.2026-11", "r.4294967295.4294967295.0.v.1"];
     assert!(valid.iter().all(|id| id.parse::<EventId>().is_ok()));
-    feed(&valid, |bytes| {
+    fuzz(&valid, |bytes| {
         let text = String::from_utf8_lossy(bytes);
         if let Ok(id) = text.parse::<EventId>() {
             assert_eq!(id.to_string().parse(), Ok(id), "{text}");
@@ -125,9 +125,9 @@
 
 #[test]
 fn replies_of_the_platform() {
-    feed_json::<Committed>(&[r#"{"results": [{"done": 3}, {"conflict": 1}, "aborted"]}"#]);
-    feed_json::<Rows>(&[r#"{"rows": [{"key": "a", "revision": 2, "value": "{}"}]}"#]);
-    feed_json::<InstanceList>(&[concat!(
+    fuzz_json::<Committed>(&[r#"{"results": [{"done": 3}, {"conflict": 1}, "aborted"]}"#]);
+    fuzz_json::<Rows>(&[r#"{"rows": [{"key": "a", "revision": 2, "value": "{}"}]}"#]);
+    fuzz_json::<InstanceList>(&[concat!(
         r#"{"revision": 9, "instances": [{"name": "n", "kind": "engine", "url": "http://h:1", "#,
         r#""domain": "d", "entry": "e", "version": "v", "state": "live", "fenced": true}]}"#
     )]);
@@ -135,7 +135,7 @@
 
 #[test]
 fn load_reports() {
-    feed_json::<LoadReport>(&[concat!(
+    fuzz_json::<LoadReport>(&[concat!(
         r#"{"version": "v1", "running": 1, "waiting": 0, "slots": 8, "leaving": false, "#,
         r#""cache": [{"sequence": 1, "prefix": 18446744073709551615, "held": true}]}"#
     )]);
@@ -143,7 +143,7 @@
 
 #[test]
 fn proposals_of_operators() {
-    feed_json::<Proposal>(&[concat!(
+    fuzz_json::<Proposal>(&[concat!(
         r#"{"expect": 1, "apply": "a", "comment": "", "#,
         r#""catalogue": {"accounts": [], "entries": []}}"#
     )]);
@@ -155,7 +155,7 @@
     let document =
         |bytes: &[u8]| Document::new("catalogue.jsonc".into(), &String::from_utf8_lossy(bytes));
     assert!(catalogue::parse(&document(good.as_bytes())).is_ok());
-    feed(&[good], |bytes| _ = catalogue::parse(&document(bytes)));
+    fuzz(&[good], |bytes| _ = catalogue::parse(&document(bytes)));
 }
 
 #[test]
@@ -164,7 +164,7 @@
     let document =
         |bytes: &[u8]| Document::new("node.jsonc".into(), &String::from_utf8_lossy(bytes));
     assert!(document(good.as_bytes()).parse::<Settings>().is_ok());
-    feed(&[good], |bytes| {
+    fuzz(&[good], |bytes| {
         let document = document(bytes);
         if let Ok(settings) = document.parse::<Settings>() {
             _ = settings::check::faults(&document, &settings);
@@ -172,7 +172,7 @@
     });
 }
 
-/// A runner's answer whose body comes in these frames.
+/// Returns a runner's response whose body consists of these frames.
 fn answer(frames: Vec<Bytes>) -> Response {
     let frames = stream::iter(frames).map(|bytes| Ok(Frame::data(bytes)));
     http::Response::builder()
@@ -181,21 +181,21 @@
         .unwrap()
 }
 
-/// Reads a runner's stream to its first failure.
+/// Reads a runner's stream until its first failure; returns the events and that failure.
 async fn read(frames: Vec<Bytes>) -> (Vec<RunnerEvent>, Failure) {
     let mut upstream = Upstream::new(answer(frames)).unwrap();
-    let mut said = Vec::new();
+    let mut events = Vec::new();
     loop {
         match upstream.next(Duration::from_secs(1)).await {
-            Ok(event) => said.push(event),
-            Err(failure) => return (said, failure),
+            Ok(event) => events.push(event),
+            Err(failure) => return (events, failure),
         }
     }
 }
 
-/// Cuts bytes into frames of at most so many.
-fn frames(bytes: &[u8], most: usize) -> Vec<Bytes> {
-    bytes.chunks(most).map(Bytes::copy_from_slice).collect()
+/// Splits bytes into frames of at max_bytes this size.
+fn frames(bytes: &[u8], max_bytes: usize) -> Vec<Bytes> {
+    bytes.chunks(max_bytes).map(Bytes::copy_from_slice).collect()
 }
 
 const STREAM: &str = concat!(
@@ -208,7 +208,8 @@
     [Token { index: 0, text: "één ".into() }, Token { index: 1, text: "漢字🦀".into() }]
 }
 
-/// Frames end anywhere, in the middle of a character too. The tokens are the same.
+/// Guards against tokens that depend on the frame boundaries, including boundaries within a
+/// character.
 #[tokio::test]
 async fn runner_events_in_any_frames() {
     let [zero, one] = tokens();
@@ -220,26 +221,26 @@
         RunnerEvent::Done,
     ];
     for text in [STREAM.to_owned(), STREAM.replace('\n', "\r\n")] {
-        for most in (1..40).chain([text.len()]) {
-            let (said, failure) = read(frames(text.as_bytes(), most)).await;
-            assert_eq!(said, expected, "frames of {most}");
+        for max_bytes in (1..40).chain([text.len()]) {
+            let (events, failure) = read(frames(text.as_bytes(), max_bytes)).await;
+            assert_eq!(events, expected, "frames of {max_bytes}");
             assert_eq!(failure, Failure::Lost(Verdict::Garbled));
         }
     }
 }
 
-/// The runner writes a token whose bytes are no text. Decoded lossily it would reach the caller
-/// altered, and no one would know: the stream must end there, as garbled.
+/// Guards against invalid UTF-8 in a token. Decoded lossily it would reach the caller altered and
+/// unnoticed, so the stream must end as garbled.
 #[tokio::test]
-async fn token_that_is_no_text() {
+async fn token_with_invalid_utf8() {
     let zero = "id: 1:0\ndata: {\"index\":0,\"text\":\"a\"}\n\n".as_bytes();
     for bad in [&b"\xff\xfe"[..], b"\xe2\x82", b"\xed\xa0\x80", b"\xc0\xaf", b"\xf0\x9f\xa6"] {
         let one = [b"id: 1:1\ndata: {\"index\":1,\"text\":\"", bad, b"\"}\n\n"].concat();
-        for most in [1, 7, 1_000] {
-            let all = [frames(zero, most), frames(&one, most)].concat();
-            let (said, failure) = read(all).await;
+        for max_bytes in [1, 7, 1_000] {
+            let all = [frames(zero, max_bytes), frames(&one, max_bytes)].concat();
+            let (events, failure) = read(all).await;
             assert_eq!(
-                said,
+                events,
                 [RunnerEvent::Token(1, Token { index: 0, text: "a".into() })],
                 "{bad:?}"
             );
@@ -248,13 +249,14 @@
     }
 }
 
-/// The runner's event has no end: it fails as garbled after a bounded number of bytes.
+/// Guards against an event without an end: the stream must end as garbled after a bounded number of
+/// bytes.
 #[tokio::test]
-async fn unending_event() {
+async fn event_without_an_end() {
     let line = Bytes::from_static(&[b'x'; 4_096]);
     for start in ["data: ", ":", "data: a\ndata: "] {
         let first = stream::iter([Bytes::from(start)]);
-        let (taken, counter) = counted();
+        let (bytes_read, counter) = counted();
         let rest = stream::repeat(line.clone()).inspect(move |frame| counter(frame.len()));
         let all = first.chain(rest).map(|bytes| Ok(Frame::data(bytes)));
         let response = http::Response::builder()
@@ -264,7 +266,7 @@
         let mut upstream = Upstream::new(response).unwrap();
         let failure = upstream.next(Duration::from_secs(1)).await.unwrap_err();
         assert_eq!(failure, Failure::Lost(Verdict::Garbled));
-        assert!(taken() < 128 << 10, "{} bytes were taken", taken());
+        assert!(bytes_read() < 128 << 10, "{} bytes were read", bytes_read());
     }
 }
 
@@ -275,24 +277,24 @@
     (move || read.load(Relaxed), move |bytes| _ = write.fetch_add(bytes, Relaxed))
 }
 
-/// Any bytes: the stream ends, with a failure, and nothing is said that isn't there.
+/// Guards against events that are not in the bytes, and a stream that does not end with a failure.
 #[tokio::test]
-async fn runner_events_under_bad_bytes() {
-    for run in 0..RUNS {
-        let mut g = Gen::from_size_and_seed(300, SEED + run);
-        let most = 1 + usize::arbitrary(&mut g) % 64;
-        _ = read(frames(&Vec::<u8>::arbitrary(&mut g), most)).await;
+async fn runner_events_with_invalid_bytes() {
+    for case in 0..CASES {
+        let mut g = Gen::from_size_and_seed(300, SEED + case);
+        let max_bytes = 1 + usize::arbitrary(&mut g) % 64;
+        _ = read(frames(&Vec::<u8>::arbitrary(&mut g), max_bytes)).await;
         let bad = mutated(&mut g, &[STREAM]);
-        let (said, _) = read(frames(&bad, most)).await;
-        // Nothing is said of an event with bad bytes in it, or of any after it.
+        let (events, _) = read(frames(&bad, max_bytes)).await;
+        // An event with invalid bytes, and all events after it, must not be returned.
         let good = bad.utf8_chunks().next().map_or("", |chunk| chunk.valid());
-        let events = good.matches("data:").count() + good.matches("event").count();
-        assert!(said.len() <= events, "{said:?} of {good}");
-        assert!(!format!("{said:?}").contains('\u{fffd}'), "{said:?}");
+        let max_events = good.matches("data:").count() + good.matches("event").count();
+        assert!(events.len() <= max_events, "{events:?} of {good}");
+        assert!(!format!("{events:?}").contains('\u{fffd}'), "{events:?}");
     }
 }
 
-/// The caller sends a byte now and then, for ever. It is refused when its time is up.
+/// Guards against a request body that is sent too slowly: it is rejected after the time limit.
 #[tokio::test(start_paused = true)]
 async fn slow_body() {
     let bytes = stream::repeat(Bytes::from_static(b" ")).then(async |byte| {
@@ -306,10 +308,10 @@
     assert_eq!(before.elapsed(), Duration::from_secs(10));
 }
 
-/// A runner or a service of the platform answers without end. The answer is given up after a bounded
-/// number of bytes, long before the time is up.
+/// Guards against an endless response of a runner or a platform service: reading stops after a
+/// bounded number of bytes, long before the timeout.
 #[tokio::test]
-async fn endless_answer() {
+async fn endless_response() {
     async fn endless() -> Body {
         let frames = stream::repeat(Bytes::from_static(&[b' '; 4_096])).then(async |bytes| {
             sleep(Duration::from_millis(1)).await;
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`, through the real program, on logs of two instances.
+//! `explain` as a process, on logs of two instances.
 
 use {
     bilberryfront_relay::log_messages,
@@ -11,7 +11,7 @@
     tempfile::TempDir,
 };
 
-/// A log line, `millis` after the start of a day.
+/// Returns a log line, `millis` milliseconds after a fixed start.
 fn line(millis: i64, message: &str, fields: impl Into<Value>) -> String {
     let fields: Value = fields.into();
     let at = jiff::Timestamp::from_millisecond(1_780_000_000_000 + millis).unwrap();
@@ -19,38 +19,39 @@
         .to_string()
 }
 
-fn in_force(millis: i64, version: u64) -> String {
+fn catalogue_applied(millis: i64, version: u64) -> String {
     line(millis, log_messages::IN_FORCE, json!({"version": version, "revision": version}))
 }
 
-fn lost(millis: i64, request: &str) -> String {
+fn run_lost(millis: i64, request: &str) -> String {
     let fields = json!({"request": request, "runner": "e1", "holder": "e2", "position": 38});
     line(millis, &format!("{}Silent", log_messages::RUN_LOST), fields)
 }
 
-fn begun(millis: i64, request: &str, copied: bool) -> String {
+fn run_started(millis: i64, request: &str, from_replica: bool) -> String {
     let fields =
-        json!({"request": request, "runner": "e2", "from_replica": copied, "position": 38});
+        json!({"request": request, "runner": "e2", "from_replica": from_replica, "position": 38});
     line(millis, log_messages::RUN_BEGUN, fields)
 }
 
-/// Logs of the instances `n1` and `n2`; the second one's catalogue is behind for two seconds.
+/// Writes the logs of the instances `n1` and `n2`; the catalogue of the second one is out of date
+/// for two seconds.
 fn logs() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     let first = [
         line(0, log_messages::SERVES, json!({"name": "n1"})),
-        in_force(1_000, 7),
-        lost(2_000, "copied"),
-        begun(2_010, "copied", true),
-        lost(2_000, "read-again"),
-        begun(3_200, "read-again", false),
+        catalogue_applied(1_000, 7),
+        run_lost(2_000, "copied"),
+        run_started(2_010, "copied", true),
+        run_lost(2_000, "read-again"),
+        run_started(3_200, "read-again", false),
         line(3_300, log_messages::RUNNER_GONE, json!({"runner": "e1"})),
         line(4_000, log_messages::STREAM_ENDED, json!({"request": "copied"})),
         line(4_000, log_messages::STREAM_ENDED, json!({"request": "read-again"})),
         "no log line".into(),
         line(5_000, "rejected: Lost", json!({"request": "call", "waited": 18, "ready": 4})),
         line(6_000, "rejected: NotRun { retry: 300ms }", json!({"request": "full", "ready": 0})),
-        in_force(7_000, 9),
+        catalogue_applied(7_000, 9),
         line(
             7_100,
             log_messages::RUN_FAILED,
@@ -62,14 +63,15 @@
             json!({"request": "failing", "runner": "p2", "status": 500}),
         ),
         line(7_131, log_messages::FAILURE_PASSED, json!({"request": "failing", "status": 500})),
-        begun(9_000, "cut-short", false),
+        run_started(9_000, "cut-short", false),
         line(10_500, log_messages::SERVES, json!({"name": "n1"})),
     ];
     let second = [
         line(0, log_messages::SERVES, json!({"name": "n2"})),
-        in_force(1_000, 7),
+        catalogue_applied(1_000, 7),
         line(8_000, "rejected: NoKey", json!({"request": "denied", "version": 7})),
-        // The clock is set back: what comes later in the file happened later all the same.
+        // The clock is set back: later lines of a file are later events even if their time is
+        // earlier.
         line(7_000, log_messages::IN_FORCE, json!({"version": 9, "revision": 9})),
         line(9_500, "rejected: NoKey", json!({"request": "unknown-key", "version": 9})),
     ];
@@ -85,9 +87,10 @@
     command.output().unwrap()
 }
 
-/// Each kind of end has its cause told, also where it shows only in another instance's log.
+/// Guards against an outcome that is reported without its cause, also when only another instance's
+/// log shows it.
 #[test]
-fn every_kind_of_end_is_told_with_its_cause() {
+fn every_outcome_is_reported_with_its_cause() {
     let folder = logs();
     for (id, cause) in [
         ("copied", "resumed from a replica in time"),
@@ -102,42 +105,47 @@
         ("9", "came into force at n1 first"),
     ] {
         let output = explain(&folder, id, &[]);
-        let told = String::from_utf8(output.stdout).unwrap();
-        assert_eq!(output.status.code(), Some(0), "{id}: {told}");
-        assert!(told.contains(cause), "{id}: {told}");
+        let text = String::from_utf8(output.stdout).unwrap();
+        assert_eq!(output.status.code(), Some(0), "{id}: {text}");
+        assert!(text.contains(cause), "{id}: {text}");
     }
 }
 
-/// What happened to the runners that a request met, and to its instance's dependencies, stands between its
-/// own lines; other requests' lines don't.
+/// Guards against a timeline that omits what happened to the runners of a request and to the
+/// dependencies of its instance, or that contains lines of other requests.
 #[test]
-fn a_story_holds_what_happened_around_it() {
+fn a_timeline_contains_related_events() {
     let output = explain(&logs(), "read-again", &["--output", "json"]);
-    let story: Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert_eq!(story["subject"], json!({"request": "read-again"}));
-    let events = story["events"].as_array().unwrap();
-    let told: Vec<_> = events.iter().map(|e| (e["text"].as_str().unwrap(), &e["own"])).collect();
+    let timeline: Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert_eq!(timeline["subject"], json!({"request": "read-again"}));
+    let events = timeline["events"].as_array().unwrap();
+    let lines: Vec<_> = events.iter().map(|e| (e["text"].as_str().unwrap(), &e["own"])).collect();
     assert!(
-        told.iter()
-            .any(|(text, own)| text.starts_with(log_messages::RUNNER_GONE) && **own == false)
+        lines
+            .iter()
+            .any(|(message, own)| message.starts_with(log_messages::RUNNER_GONE) && **own == false)
     );
     assert!(events.iter().all(|e| e["node"] == "n1"));
-    assert_eq!(told.iter().filter(|(text, _)| text.starts_with(log_messages::RUN_LOST)).count(), 1);
+    assert_eq!(
+        lines.iter().filter(|(message, _)| message.starts_with(log_messages::RUN_LOST)).count(),
+        1
+    );
 }
 
-/// A clock that was set back doesn't change the order of one instance's lines.
+/// Guards against an order of lines that follows a clock which was set back.
 #[test]
-fn a_clock_that_was_set_back_changes_no_order() {
+fn a_clock_that_was_set_back_does_not_change_the_order() {
     let output = explain(&logs(), "unknown-key", &["--output", "json"]);
-    let story: Value = serde_json::from_slice(&output.stdout).unwrap();
+    let timeline: Value = serde_json::from_slice(&output.stdout).unwrap();
     let own: Vec<bool> =
-        story["events"].as_array().unwrap().iter().map(|e| e["own"] == true).collect();
-    assert_eq!(own.last(), Some(&true), "{story}");
+        timeline["events"].as_array().unwrap().iter().map(|e| e["own"] == true).collect();
+    assert_eq!(own.last(), Some(&true), "{timeline}");
 }
 
-/// What isn't there, and what isn't a log, is said so; lines that can be read still count.
+/// Guards against missing reports of unknown ids, unreadable files and lines that are not log
+/// lines; the readable lines still count.
 #[test]
-fn what_cannot_be_told_is_said_so() {
+fn missing_ids_and_unreadable_input_are_reported() {
     let folder = logs();
     let output = explain(&folder, "nobody", &[]);
     let shown = String::from_utf8(output.stderr).unwrap();
@@ -151,7 +159,8 @@
     assert!(String::from_utf8(missing.stderr).unwrap().contains("cannot read not-there.log"));
 }
 
-/// Logs come from standard input where no file is named, such as from a log store's own client.
+/// Guards against `explain` without files that does not read standard input, such as the output of
+/// a log store's client.
 #[test]
 fn logs_are_read_from_standard_input() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_bilberryfront"))
@@ -162,13 +171,13 @@
         .unwrap();
     let text = fs::read(logs().path().join("one.log")).unwrap();
     child.stdin.take().unwrap().write_all(&text).unwrap();
-    let told = String::from_utf8(child.wait_with_output().unwrap().stdout).unwrap();
-    assert!(told.contains("It may have run"), "{told}");
+    let text = String::from_utf8(child.wait_with_output().unwrap().stdout).unwrap();
+    assert!(text.contains("It may have run"), "{text}");
 }
 
-/// The operators' page tells of every line that `explain` looks for.
+/// Guards against messages that `explain` matches and the operators' page does not document.
 #[test]
-fn the_operators_page_lists_the_lines() {
+fn the_operators_page_lists_the_messages() {
     let page =
         fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/docs/OPERATIONS.md")).unwrap();
     let missing: Vec<_> = log_messages::ALL
--- a/tests/http_flow.rs
+++ b/tests/http_flow.rs
@@ -1,4 +1,4 @@
-//! Callers that don't read, leave while they wait, and what is counted of them all.
+//! Clients that read slowly or disconnect, and the metrics of their requests.
 
 use {
     bilberryfront_harness::{
@@ -30,16 +30,17 @@
     api::get(fleet.client(), &format!("{}/admin/log", fleet.runners[0].url)).await.unwrap()
 }
 
-async fn written(fleet: &Fleet) -> u32 {
+async fn written_tokens(fleet: &Fleet) -> u32 {
     log(fleet).await.calls.iter().map(|c| c.written).sum()
 }
 
-/// Waits until the runner has written nothing for three times the stall bound.
-async fn held_back(fleet: &Fleet) -> u32 {
+/// Waits until the runner has written nothing for three times the stall limit; returns the number
+/// of tokens it has written.
+async fn wait_for_backpressure(fleet: &Fleet) -> u32 {
     let mut last = 0;
     loop {
         sleep(3 * STALL).await;
-        let now = written(fleet).await;
+        let now = written_tokens(fleet).await;
         if now == last && now > 0 {
             return now;
         }
@@ -47,112 +48,121 @@
     }
 }
 
-/// Reads a stream to its end mark.
-async fn read_to_done(raw: &mut RawConnection) {
+/// Reads a stream until its end marker.
+async fn read_to_end(connection: &mut RawConnection) {
     const DONE: &[u8] = b"data: [DONE]\n\n";
-    while !raw.received.windows(DONE.len()).any(|w| w == DONE) {
-        let keep = raw.received.len().saturating_sub(DONE.len());
-        raw.received.drain(..keep);
-        assert!(raw.read().await > 0, "cut before its end");
+    while !connection.received.windows(DONE.len()).any(|w| w == DONE) {
+        let keep = connection.received.len().saturating_sub(DONE.len());
+        connection.received.drain(..keep);
+        assert!(connection.read().await > 0, "the stream ended before its end marker");
     }
 }
 
-/// Resident memory of the node, in KiB.
-fn memory(fleet: &Fleet) -> u64 {
+/// Returns the resident memory of the node, in KiB.
+fn memory_kib(fleet: &Fleet) -> u64 {
     let id = fleet.nodes[0].server.process.id();
     let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap();
     line.split_whitespace().next().unwrap().parse().unwrap()
 }
 
-/// Tokens of an answer that no buffer on the way holds.
-const LONG: u32 = 1_000_000;
-/// Longest silence of a runner.
+/// Tokens of a response that is larger than all buffers between runner and client.
+const LONG_TOKENS: u32 = 1_000_000;
+/// Longest silence of a runner before the node treats it as stalled.
 const STALL: Duration = Duration::from_millis(300);
-/// Callers that don't read.
-const IDLE: u32 = 8;
-/// Most memory that each of them may cost the node, in KiB: three buffers of the HTTP library (being
-/// read, read, to be written) at their bound of 408 KiB, and something for the rest. Unbounded, the
-/// answer would take some 200,000 KiB.
-const IDLE_KIB: u64 = 1_536;
+/// Number of clients that do not read.
+const IDLE_CLIENTS: u32 = 8;
+/// Limit on the memory that each of these clients costs the node, in KiB: three buffers of the HTTP
+/// library (one being read, one that was read, one to be written) of at most 408 KiB each, and some
+/// other memory. Without backpressure a response would take some 200,000 KiB.
+const MAX_KIB_PER_CLIENT: u64 = 1_536;
 
-/// The caller reads the head of a long answer and then nothing for a while. The node stops reading
-/// from the runner, which is held back; its silence is the caller's doing and not taken for a stall,
-/// so there is one call. When the caller reads on it gets the rest.
+/// Guards against missing backpressure, and against a runner that counts as stalled because of a
+/// slow client. The client reads the response head and then nothing for a while; the node stops
+/// reading from the runner, so the runner stops writing. There must be only one call, and the
+/// client gets the rest when it continues to read.
 #[tokio::test]
-async fn slow_reader_holds_the_runner_back() {
+async fn slow_client_causes_backpressure() {
     let limits = json!({"stall_ms": STALL.as_millis() as u64});
-    let fleet = fleet(json!({"limits": limits, "tokens": LONG}), 0).await;
-    let mut raw = post_streamed(&fleet, "long").await;
-    raw.read_status().await;
-    let held = held_back(&fleet).await;
-    assert!(held < LONG / 4, "{held} tokens were written to nobody");
-    read_to_done(&mut raw).await;
+    let fleet = fleet(json!({"limits": limits, "tokens": LONG_TOKENS}), 0).await;
+    let mut connection = post_streamed(&fleet, "long").await;
+    connection.read_status().await;
+    let held = wait_for_backpressure(&fleet).await;
+    assert!(held < LONG_TOKENS / 4, "{held} tokens were written although the client reads nothing");
+    read_to_end(&mut connection).await;
     let calls = log(&fleet).await.calls;
-    let whole = |c: &Call| (c.attempt, c.written, c.ended) == (1, LONG, Some(Ended::Finished));
+    let whole =
+        |c: &Call| (c.attempt, c.written, c.ended) == (1, LONG_TOKENS, Some(Ended::Finished));
     assert!(matches!(&calls[..], [call] if whole(call)), "{calls:?}");
 }
 
-/// Many callers read only the heads of long answers. Each costs the node a bounded amount of memory
-/// and not the whole answer.
+/// Guards against unbounded memory when many clients read only the heads of long responses.
 #[tokio::test]
-async fn idle_callers_cost_bounded_memory() {
-    let fleet = fleet(json!({"tokens": LONG}), 0).await;
-    let before = memory(&fleet);
+async fn idle_clients_use_bounded_memory() {
+    let fleet = fleet(json!({"tokens": LONG_TOKENS}), 0).await;
+    let before = memory_kib(&fleet);
     let mut idle = Vec::new();
-    for caller in 0..IDLE {
-        let mut raw = post_streamed(&fleet, &format!("long {caller}")).await;
-        raw.read_status().await;
-        idle.push(raw);
+    for caller in 0..IDLE_CLIENTS {
+        let mut connection = post_streamed(&fleet, &format!("long {caller}")).await;
+        connection.read_status().await;
+        idle.push(connection);
     }
-    held_back(&fleet).await;
-    let grown = memory(&fleet).saturating_sub(before);
-    assert!(grown < u64::from(IDLE) * IDLE_KIB, "{grown} KiB for {IDLE} callers");
+    wait_for_backpressure(&fleet).await;
+    let grown = memory_kib(&fleet).saturating_sub(before);
+    assert!(
+        grown < u64::from(IDLE_CLIENTS) * MAX_KIB_PER_CLIENT,
+        "{grown} KiB for {IDLE_CLIENTS} clients"
+    );
 }
 
-/// The entry runs one request. A second caller waits in the queue and leaves. It is forgotten: its
-/// place is free for a third, which is served when the first ends, and the runner never hears of it.
+/// Guards against queue slots of disconnected clients. The entry runs one request at a time; a
+/// second client waits in the queue and disconnects. Its slot must be free for a third one, which
+/// is served when the first request ends, and the runner must never receive the second request.
 #[tokio::test]
-async fn caller_leaves_the_queue() {
+async fn disconnected_client_leaves_the_queue() {
     let mut collector = Collector::start().await;
     let mut fleet = Fleet::new(programs::programs()).unwrap();
     fleet.statsd = Some(collector.address());
     let limits = json!({"concurrent": 1, "queue": 1, "wait_ms": 60_000});
-    raw_http::start(&mut fleet, &json!({"limits": limits, "tokens": LONG}), 20).await;
+    raw_http::start(&mut fleet, &json!({"limits": limits, "tokens": LONG_TOKENS}), 20).await;
     let mut first = post_streamed(&fleet, "first").await;
     first.read_status().await;
     let queued = post_streamed(&fleet, "queued").await;
     collector.wait_for_gauge("open", 2).await;
     drop(queued);
-    // The node counts it as gone only after it has told its core to forget it.
+    // The metric changes only after the node has removed the request from its queue.
     collector.wait_for_gauge("open", 1).await;
     let mut last: RawConnection = post_streamed(&fleet, "last").await;
     collector.wait_for_gauge("open", 2).await;
     drop(first);
     assert_eq!(last.read_status().await.as_u16(), 200);
-    assert_eq!(log(&fleet).await.calls.len(), 2, "the first and the last");
+    assert_eq!(
+        log(&fleet).await.calls.len(),
+        2,
+        "only the first and the last request reach the runner"
+    );
 }
 
-/// A request whose answer ends soon, at a runner whose answers don't.
+/// Returns a request for a short response, for a runner whose responses are long.
 fn short(prompt: &str) -> CompletionRequest {
     CompletionRequest { max_tokens: Some(raw_http::TOKENS), ..request(prompt) }
 }
 
-/// Callers are served, refused, left in the middle, cut by a runner and refused by it. Each request
-/// is counted once by its end, and each token once.
+/// Guards against requests and tokens that are counted twice or not at all: requests are served,
+/// rejected by the node, cancelled by the client, cut by a runner and rejected by it.
 #[tokio::test]
-async fn everything_is_counted() {
+async fn requests_and_tokens_are_counted_once() {
     let mut collector = Collector::start().await;
     let mut fleet = Fleet::new(programs::programs()).unwrap();
     fleet.statsd = Some(collector.address());
-    raw_http::start(&mut fleet, &json!({"tokens": LONG}), 5).await;
+    raw_http::start(&mut fleet, &json!({"tokens": LONG_TOKENS}), 5).await;
     let caller = Caller::new(CALLER_KEY);
     let nodes = fleet.urls();
     let cut = Some(After { tokens: 50, once: true });
     let runner = &fleet.runners[0];
     fleet.faults(runner, &Faults { cut, ..Faults::default() }).await.unwrap();
-    let got = caller.stream(&nodes, &short("cut once"), |_| {}).await.unwrap();
-    assert_eq!((got.tokens, got.resumes), (raw_http::TOKENS, 0));
+    let received = caller.stream(&nodes, &short("cut once"), |_| {}).await.unwrap();
+    assert_eq!((received.tokens, received.resumes), (raw_http::TOKENS, 0));
     let whole = CompletionRequest { stream: false, ..short("whole") };
     assert_eq!(caller.complete(&nodes[0], &whole).await.unwrap().status.as_u16(), 200);
     let bad = CompletionRequest { max_tokens: Some(0), ..request("bad") };
@@ -172,7 +182,7 @@
     assert_eq!((collector.get("runners.rejected"), collector.get("sends")), (1, 5));
     assert!(collector.get("tokens") >= u64::from(2 * raw_http::TOKENS));
     assert_eq!((collector.get("first_token.time"), collector.get("resume.time")), (3, 1));
-    assert_eq!(collector.get("request.time"), 4, "all but the one that was left");
+    assert_eq!(collector.get("request.time"), 4, "all requests except the cancelled one");
     collector.wait_for_gauge("open", 0).await;
     collector.wait_for_gauge("nodes", 1).await;
     collector.wait_for_gauge("peers.dropped", 0).await;
--- a/tests/move_adopted.rs
+++ b/tests/move_adopted.rs
@@ -1,10 +1,10 @@
-//! A good version's whole move, through the command line and processes. It stands alone, since tests
-//! beside it would disturb what its versions' latencies show.
+//! The complete move to a working version, through the command line and processes. It has a test
+//! binary of its own because tests in the same process would disturb the latencies of the versions.
 
-#[expect(dead_code, reason = "the fleet has a folder of its own")]
+#[expect(dead_code, reason = "the fleet creates its own folder")]
 #[path = "support/folder.rs"]
 mod folder;
-#[expect(dead_code, reason = "the other moves need more")]
+#[expect(dead_code, reason = "the tests of other moves use the rest")]
 #[path = "support/moving.rs"]
 mod moving;
 #[path = "support/programs.rs"]
@@ -12,19 +12,20 @@
 
 use moving::{Load, fleet, start, state, version, wait_for_report};
 
-/// A deadline that leaves as much time again as the steps take, for a suspicion to pass.
+/// Deadline of about twice the time that the steps need, so that a suspicion can pass.
 const LONG: &str = "4m";
-/// Weights by which spare time is kept and not spent at the steps.
-const SPARING: [&str; 6] = ["--on-time", "0", "--take-back", "0", "--extra-use", "1"];
+/// Weights with which spare time is kept instead of being spent on the steps.
+const KEEP_SPARE_TIME: [&str; 6] = ["--on-time", "0", "--take-back", "0", "--extra-use", "1"];
 
-/// Callers see whole answers all along. The share grows step by step to all, the catalogue names the
-/// new version, and the command that waited says so with exit code 0. The other node knows it too.
+/// Guards against lost responses during a successful move, and against a node that misses its end.
+/// The share grows step by step to 100 %, the catalogue names the new version, the waiting command
+/// reports it with exit code 0, and both nodes report the move as adopted.
 #[tokio::test(flavor = "multi_thread")]
-async fn good_version_is_adopted_everywhere() {
+async fn working_version_is_adopted_on_all_nodes() {
     let fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
-    let outcome = start(&fleet, 0, &[&["--by", LONG, "--wait"], &SPARING[..]].concat());
+    let outcome = start(&fleet, 0, &[&["--by", LONG, "--wait"], &KEEP_SPARE_TIME[..]].concat());
     assert_eq!(outcome.code, Some(0), "{}{}", outcome.stdout, outcome.stderr);
     assert!(outcome.stdout.contains("settled, share 100 %"), "{}", outcome.stdout);
     for node in 0..2 {
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -1,6 +1,7 @@
-//! Version moves through the command line, nodes, runners and table service, each its own process.
+//! Version moves through the command line, with nodes, runners and the table service as separate
+//! processes.
 
-#[expect(dead_code, reason = "the fleet has a folder of its own")]
+#[expect(dead_code, reason = "the fleet creates its own folder")]
 #[path = "support/folder.rs"]
 mod folder;
 #[path = "support/moving.rs"]
@@ -23,16 +24,16 @@
     serde_json::{Value, json},
 };
 
-/// A deadline that leaves time for everything.
+/// Deadline that is long enough for every step of a move.
 const LONG: &str = "1h";
 
-/// The fault of refusing every call.
-fn refusing(status: u16) -> Faults {
+/// Returns faults with which a server rejects every request.
+fn reject_all(status: u16) -> Faults {
     let reject = Reject { status, retry: None, path: "".into(), once: false };
     Faults { reject: Some(reject), ..Faults::default() }
 }
 
-/// Calls the operators' face of the first node.
+/// Sends a request to the operator API of the first node.
 async fn post(fleet: &Fleet, path: &str, key: &str, body: &Value) -> Answer {
     let url = format!("{}{path}", fleet.nodes[0].operators);
     let bearer = format!("Bearer {key}");
@@ -40,14 +41,14 @@
     call(fleet.client(), Method::POST, &url, &headers, body.to_string().into()).await.unwrap()
 }
 
-/// The new version's runners refuse every call. Callers still see whole answers, because the old
-/// version answers in its place; the verdict takes the move back on both nodes, and the command that
-/// waited exits with 1. The catalogue keeps the old version.
+/// Guards against lost responses when the new version rejects every request. The old version serves
+/// these requests instead, the verdict takes the move back on both nodes, the waiting command exits
+/// with 1, and the catalogue keeps the old version.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_version_is_taken_back_and_no_answer_is_lost() {
+async fn failing_version_is_taken_back_without_lost_responses() {
     let fleet = fleet().await;
     for runner in fleet.runners.iter().filter(|r| r.name.starts_with("new")) {
-        fleet.faults(runner, &refusing(500)).await.unwrap();
+        fleet.faults(runner, &reject_all(500)).await.unwrap();
     }
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
@@ -63,10 +64,10 @@
     load.stop().await;
 }
 
-/// An operator undoes a move at one node while the new version gets its first share. Both nodes take
-/// it back, and no further request reaches the new version.
+/// Guards against requests to the new version after a move was undone through one node while the
+/// new version received its first share: both nodes must take it back.
 #[tokio::test(flavor = "multi_thread")]
-async fn undo_takes_a_move_back_everywhere() {
+async fn undo_takes_a_move_back_on_all_nodes() {
     let fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
@@ -82,7 +83,8 @@
         let report = wait_for_report(&fleet, node, |r| state(r) == "taken_back").await;
         assert_eq!(report["verdict"]["cause"], "undone");
     }
-    // Answers of all callers come between two counts, so what was on its way has arrived.
+    // Responses to all clients arrive between two counts, so requests in flight have reached their
+    // runner.
     load.wait_for_responses(100).await;
     let before = requests_to_new_version(&fleet).await;
     load.wait_for_responses(100).await;
@@ -94,10 +96,11 @@
     assert!(outcome.stderr.contains("no move of entry"), "{}", outcome.stderr);
 }
 
-/// The node that steps a move is killed. The lease lapses, the other node takes it over and raises the
-/// share further, and its operators see so. Callers of the dead node resume at the other.
+/// Guards against a move that stops when the node that holds its lease is killed. The lease
+/// expires, the other node acquires it and raises the share, and the other node's report shows
+/// this. Callers of the killed node resume at the other one.
 #[tokio::test(flavor = "multi_thread")]
-async fn another_node_goes_on_when_the_holder_dies() {
+async fn another_node_continues_when_the_lease_holder_is_killed() {
     let mut fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
@@ -117,9 +120,10 @@
     load.stop().await;
 }
 
-/// Two operators race: the second start, at the other node, is refused with the first one's id.
+/// Guards against two moves of one entry: a second start, through the other node, must be rejected
+/// with the id of the first move.
 #[tokio::test(flavor = "multi_thread")]
-async fn second_start_elsewhere_is_refused() {
+async fn second_start_at_another_node_is_rejected() {
     let fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
@@ -134,32 +138,33 @@
     load.stop().await;
 }
 
-/// What can't be done is refused at once, with what would do, and nothing was started.
+/// Guards against invalid moves that are started, or rejected without a hint at what is valid.
 #[tokio::test(flavor = "multi_thread")]
-async fn impossible_moves_are_refused_at_once() {
+async fn invalid_moves_are_rejected_at_once() {
     let fleet = fleet().await;
-    let refused = |args: &[&str], told: &str| {
+    let assert_rejected = |args: &[&str], expected: &str| {
         let outcome = run_command(&fleet, 0, args);
         assert_eq!(outcome.code, Some(3), "{args:?}: {}", outcome.stderr);
-        assert!(outcome.stderr.contains(told), "{args:?}: {}", outcome.stderr);
+        assert!(outcome.stderr.contains(expected), "{args:?}: {}", outcome.stderr);
     };
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
     let wanted = ["move", "start", "--by", "5s", "--entry"];
-    refused(&[&wanted[..], &[ENTRY, "--to", "v2"]].concat(), "the earliest deadline is 20");
-    refused(&[&wanted[..], &[ENTRY, "--to", "v3"]].concat(), "entry's versions: v1, v2");
-    refused(&[&wanted[..], &[ENTRY, "--to", "v1"]].concat(), "has version `v1` already");
-    refused(&[&wanted[..], &["nobody", "--to", "v2"]].concat(), "has no entry `nobody`");
-    refused(&["move", "status", "nobody"], "has no entry `nobody`");
-    refused(&["move", "status", ENTRY], "has had no move");
-    refused(&["move", "undo", ENTRY], "no move of entry");
+    assert_rejected(&[&wanted[..], &[ENTRY, "--to", "v2"]].concat(), "the earliest deadline is 20");
+    assert_rejected(&[&wanted[..], &[ENTRY, "--to", "v3"]].concat(), "entry's versions: v1, v2");
+    assert_rejected(&[&wanted[..], &[ENTRY, "--to", "v1"]].concat(), "has version `v1` already");
+    assert_rejected(&[&wanted[..], &["nobody", "--to", "v2"]].concat(), "has no entry `nobody`");
+    assert_rejected(&["move", "status", "nobody"], "has no entry `nobody`");
+    assert_rejected(&["move", "status", ENTRY], "has had no move");
+    assert_rejected(&["move", "undo", ENTRY], "no move of entry");
     assert_eq!(run_for_json(&fleet, 1, &["move", "list"]), Value::Array(Vec::new()));
     load.stop().await;
 }
 
-/// What the face answers to programs: a problem of its own kind for each reason.
+/// Guards against rejections that programs cannot distinguish: each reason has its own problem
+/// kind.
 #[tokio::test]
-async fn refusals_are_problem_documents() {
+async fn rejections_are_problem_documents() {
     let fleet = fleet().await;
     let body = |entry: &str, to: &str| json!({"entry": entry, "to": to, "by": "1s"});
     let cases = [
@@ -183,9 +188,10 @@
     }
 }
 
-/// A node that has no catalogue can't say that an entry doesn't exist. It asks to come back.
+/// Guards against a 404 from a node without a catalogue, which cannot know whether an entry exists:
+/// it must ask the client to retry.
 #[tokio::test]
-async fn node_without_a_catalogue_asks_to_come_back() {
+async fn node_without_a_catalogue_asks_to_retry() {
     let mut fleet = Fleet::new(programs::programs()).unwrap();
     fleet.start_node("node-a", "domain-a").await.unwrap();
     let body = json!({"entry": ENTRY, "to": "v2", "by": "1h"});
@@ -195,12 +201,13 @@
     assert_eq!((problem.status, &*problem.kind), (503, "/problems/no-catalogue"));
 }
 
-/// The table service refuses every call when a move is asked for. The operator is told that it may
-/// still take effect and when to come back, because the node can't know whether a write arrived.
+/// Guards against a start that is reported as failed although it may take effect: the table service
+/// rejects every request, and the node cannot know whether a write arrived. The response is
+/// "unknown" with `Retry-After`.
 #[tokio::test]
-async fn start_in_an_outage_is_told_as_unknown() {
+async fn start_in_an_outage_is_reported_as_unknown() {
     let fleet = fleet().await;
-    fleet.faults(&fleet.table, &refusing(503)).await.unwrap();
+    fleet.faults(&fleet.table, &reject_all(503)).await.unwrap();
     let body = json!({"entry": ENTRY, "to": "v2", "by": "20s", "force": true});
     let answer = post(&fleet, "/v1/moves", OPERATOR_KEY, &body).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -209,16 +216,17 @@
     assert_eq!((&*problem.kind, problem.run), ("/problems/move-unknown", Run::Unknown));
 }
 
-/// An operator undoes a move while the table service refuses every call. Lowering a share needs no
-/// table: both nodes stop sending to the new version at once, and the row follows after the outage.
+/// Guards against an undo that waits for the table service. Lowering a share needs no table: during
+/// the outage both nodes stop sending requests to the new version at once, and the row is written
+/// after the outage.
 #[tokio::test(flavor = "multi_thread")]
-async fn undo_needs_no_table() {
+async fn undo_works_without_the_table() {
     let fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
     assert_eq!(start(&fleet, 0, &["--by", LONG]).code, Some(0));
     wait_for_report(&fleet, 1, |r| state(r) == "moving").await;
-    fleet.faults(&fleet.table, &refusing(503)).await.unwrap();
+    fleet.faults(&fleet.table, &reject_all(503)).await.unwrap();
     assert_eq!(run_command(&fleet, 0, &["move", "undo", ENTRY]).code, Some(0));
     for node in 0..2 {
         let report = wait_for_report(&fleet, node, |r| state(r) == "taken_back").await;
--- a/tests/once_peek.rs
+++ b/tests/once_peek.rs
@@ -1,4 +1,4 @@
-//! What is said of a call that no runner can take now.
+//! Responses to calls while no runner is available.
 
 #[expect(dead_code, reason = "other tests use more faults")]
 #[path = "fakes/table.rs"]
@@ -26,17 +26,18 @@
     Outcome::Answer(answer::keep(201, &HeaderMap::new(), b"correction 7"))
 }
 
-/// A correction was lodged and its answer lost. When the desk asks again at another node, no runner
-/// is left. It must get the recorded answer: "not run" would make it lodge the correction anew.
+/// Guards against a wrong "not run" for a call that was executed and whose response was lost. The
+/// caller retries at another node when no runner is left, and must get the recorded response: after
+/// "not run" it would send the correction as a new call.
 #[tokio::test(start_paused = true)]
-async fn a_peek_tells_what_is_recorded() {
+async fn a_peek_returns_the_recorded_outcome() {
     let table = FakeTable::new(Duration::from_millis(5));
     let node =
         |incarnation| Intents::start(table.clone(), Incarnation(incarnation), Limits::default());
     let (a, b) = (node(1), node(2));
     assert!(matches!(b.peek(&call(b"1")).await, Claim::NotRun(_)));
     let Claim::Granted(mut permit) = a.claim(call(b"1")).await else {
-        panic!("the first is granted")
+        panic!("the first claim must be granted")
     };
     assert!(permit.begin());
     assert!(matches!(b.peek(&call(b"1")).await, Claim::Busy(_)));
@@ -46,14 +47,14 @@
     assert_eq!(table.state().commit_sizes.len(), 2, "a peek writes nothing");
 }
 
-/// The table fails too. The answer comes at once.
+/// Guards against a wait for the table service during its outage.
 #[tokio::test(start_paused = true)]
 async fn a_peek_in_an_outage_does_not_wait() {
     let table = FakeTable::new(Duration::from_millis(5));
     table.state().default_fault = Some(Fault::Hang);
     let a = Intents::start(table.clone(), Incarnation(1), Limits::default());
     a.claim(call(b"1")).await;
-    let asked = Instant::now();
+    let start = Instant::now();
     assert!(matches!(a.peek(&call(b"1")).await, Claim::NotRun(_)));
-    assert_eq!(asked.elapsed(), Duration::ZERO);
+    assert_eq!(start.elapsed(), Duration::ZERO);
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path through real processes.
+//! Streamed requests from caller to runner and back, through processes.
 
 use {
     bilberryfront_harness::{
@@ -19,24 +19,26 @@
     Caller::new(CALLER_KEY).stream(&fleet.urls(), &request(), |_| {}).await.unwrap()
 }
 
-/// The caller sees one whole answer. Each runner closes its connection once in the middle, so the
-/// node goes on at the other from the next index; the second cut sends it back to the first.
+/// Guards against an incomplete response when runners close their connections during a stream. Each
+/// runner does so once: the node resumes at the other runner from the next index, and after the
+/// second cut at the first one again.
 #[tokio::test]
-async fn cut_runner_is_replaced() {
+async fn cut_stream_resumes_at_another_runner() {
     let fleet = fleet(&["runner-a", "runner-b"], &["node-a"]).await;
     for runner in &fleet.runners {
         let cut = Some(After { tokens: 30, once: true });
         fleet.faults(runner, &Faults { cut, ..Faults::default() }).await.unwrap();
     }
-    let got = stream(&fleet).await;
-    assert_eq!(got.text, expected());
-    assert_eq!((got.tokens, got.resumes), (TOKENS, 0));
+    let received = stream(&fleet).await;
+    assert_eq!(received.text, expected());
+    assert_eq!((received.tokens, received.resumes), (TOKENS, 0));
 }
 
-/// The caller sees one whole answer, whatever a runner's stream is worth: it skips, repeats, ends
-/// without a finish, writes garbage, or falls silent, once each, and another runner goes on.
+/// Guards against invalid events that are forwarded to the caller. Each runner once skips an event,
+/// repeats one, ends without a finish event, sends garbage or stalls; the node resumes at another
+/// runner.
 #[tokio::test]
-async fn broken_streams_are_replaced() {
+async fn invalid_streams_resume_at_another_runner() {
     let fleet = fleet(&["runner-a", "runner-b"], &["node-a"]).await;
     let after = Some(After { tokens: 40, once: true });
     let faults = [
@@ -50,8 +52,8 @@
         for runner in &fleet.runners {
             fleet.faults(runner, &fault).await.unwrap();
         }
-        let got = stream(&fleet).await;
-        assert_eq!(got.text, expected(), "{fault:?}");
-        assert_eq!(got.tokens, TOKENS, "{fault:?}");
+        let received = stream(&fleet).await;
+        assert_eq!(received.text, expected(), "{fault:?}");
+        assert_eq!(received.tokens, TOKENS, "{fault:?}");
     }
 }
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -1,4 +1,4 @@
-//! The peer face over loopback, with certificates made for each test.
+//! Peer connections over loopback, with certificates generated for each test.
 
 use {
     bilberryfront::peer::{
@@ -52,7 +52,7 @@
     Some(Received::Message { from: from.into(), message })
 }
 
-/// A node that speaks the transport, but does as the test says.
+/// Opens a connection on which the test sends arbitrary bytes.
 async fn dial(config: &PeerConfig, to: &Target) -> Connection {
     let endpoint = Endpoint::client((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     let client = tls::identity(config).unwrap().client;
@@ -62,14 +62,14 @@
 
 async fn write(connection: &Connection, bytes: &[u8]) {
     let mut stream = connection.open_uni().await.unwrap();
-    // The other side may stop the stream before all is written; that is what some tests look for.
+    // The receiver may stop the stream before everything is written; some tests check this.
     _ = stream.write_all(bytes).await;
     _ = stream.finish();
     _ = stream.stopped().await;
 }
 
-async fn until(net: &PeerNet, done: impl Fn(Counts) -> bool) {
-    while !done(net.counts()) {
+async fn wait_until(net: &PeerNet, is_met: impl Fn(Counts) -> bool) {
+    while !is_met(net.counts()) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -81,7 +81,7 @@
     let (b, mut at_b, to_b) = start(&authority, "b");
     a.send(&[to_b], &PeerMessage::CatalogPull(1)).unwrap();
     assert_eq!(at_b.recv().await, message("a", PeerMessage::CatalogPull(1)));
-    // Larger than a stream's window, so that it is written in parts.
+    // Larger than the flow-control window of a stream, so it is written in parts.
     let doc = "x".repeat(5 << 20);
     let push = PeerMessage::CatalogPush(CatalogPush { revision: 2, doc });
     b.send(&[to_a], &push).unwrap();
@@ -89,51 +89,52 @@
 }
 
 #[tokio::test]
-async fn a_goodbye_arrives_before_the_process_exits() {
+async fn a_leave_message_arrives_before_the_process_exits() {
     let authority = authority();
     let (a, _at_a, _) = start(&authority, "a");
     let (_b, mut at_b, to_b) = start(&authority, "b");
     let life = NodeIncarnation { epoch: 1, incarnation: Incarnation(2) };
-    let send_leave = PeerMessage::Leave(Moment { life, beat: 3 });
-    a.send(&[to_b], &send_leave).unwrap();
+    let leave = PeerMessage::Leave(Moment { life, beat: 3 });
+    a.send(&[to_b], &leave).unwrap();
     a.close().await;
-    assert_eq!(at_b.recv().await, message("a", send_leave));
+    assert_eq!(at_b.recv().await, message("a", leave));
 }
 
-// A process that got hold of the addresses, but of no certificate of the authority, dials a node.
-// The handshake fails on both sides, nothing reaches the control thread, and the node goes on.
+// Guards against a process that knows the addresses but has no certificate of the authority. The
+// handshake fails on both sides, nothing reaches the control thread, and the node continues to
+// work.
 #[tokio::test]
-async fn a_foreign_certificate_is_refused() {
+async fn a_foreign_certificate_is_rejected() {
     let (ours, theirs) = (authority(), authority());
     let (a, mut at_a, to_a) = start(&ours, "a");
     let (b, mut at_b, _) = start(&theirs, "b");
     b.send(std::slice::from_ref(&to_a), &PeerMessage::Revision(9)).unwrap();
     assert_eq!(at_b.recv().await, Some(Received::Broken("a".into())));
-    until(&a, |c| c.refused > 0).await;
+    wait_until(&a, |c| c.refused > 0).await;
     let (c, _at_c, _) = start(&ours, "c");
     c.send(&[to_a], &PeerMessage::Revision(2)).unwrap();
     assert_eq!(at_a.recv().await, message("c", PeerMessage::Revision(2)));
 }
 
-// As above, but the intruder trusts our authority, so that only the node's own check can stop it.
+// As above, but the client trusts our authority, so only the node's own check can reject it.
 #[tokio::test]
-async fn a_caller_with_a_foreign_certificate_is_refused() {
+async fn a_client_with_a_foreign_certificate_is_rejected() {
     let (ours, theirs) = (authority(), authority());
     let (a, mut at_a, to_a) = start(&ours, "a");
     let intruder = PeerConfig { authority: ours.pem().into_bytes(), ..config(&theirs, "c") };
     let (c, mut at_c) = PeerNet::start(&intruder).unwrap();
     c.send(std::slice::from_ref(&to_a), &PeerMessage::Revision(9)).unwrap();
     assert_eq!(at_c.recv().await, Some(Received::Broken("a".into())));
-    until(&a, |c| c.refused > 0).await;
+    wait_until(&a, |c| c.refused > 0).await;
     let (d, _at_d, _) = start(&ours, "d");
     d.send(&[to_a], &PeerMessage::Revision(2)).unwrap();
     assert_eq!(at_a.recv().await, message("d", PeerMessage::Revision(2)));
 }
 
-// The list is wrong and gives the address of `b` for `c`. Were the message delivered, `b` would
-// take what was meant for `c`; the sender checks the name before it sends anything.
+// Guards against messages to the wrong node when the list contains the address of `b` for `c`: the
+// sender verifies the name before it sends anything.
 #[tokio::test]
-async fn a_node_at_the_address_of_another_gets_nothing() {
+async fn a_node_at_the_address_of_another_receives_nothing() {
     let authority = authority();
     let (a, mut at_a, _) = start(&authority, "a");
     let (b, _at_b, to_b) = start(&authority, "b");
@@ -143,33 +144,33 @@
     assert_eq!(b.counts().received, 0);
 }
 
-// A node with a good certificate for `c` says in a message that it is `b`. Believed, it could say
-// goodbye in the name of any other node; it is dropped and counted, and its honest message is taken.
+// Guards against a node with a valid certificate for `c` that sends a message as `b`, with which it
+// could announce the shutdown of any other node. That message is dropped and counted; its message
+// under its own name is accepted.
 #[tokio::test]
-async fn a_message_in_the_name_of_another_is_dropped() {
+async fn a_message_with_the_name_of_another_node_is_dropped() {
     let authority = authority();
     let (a, mut at_a, to_a) = start(&authority, "a");
     let c = dial(&config(&authority, "c"), &to_a).await;
-    let lie = codec::encode(&"b".into(), &PeerMessage::Revision(9)).unwrap();
-    write(&c, &lie.bytes).await;
-    let truth = codec::encode(&"c".into(), &PeerMessage::Revision(2)).unwrap();
-    write(&c, &truth.bytes).await;
+    let forged = codec::encode(&"b".into(), &PeerMessage::Revision(9)).unwrap();
+    write(&c, &forged.bytes).await;
+    let own = codec::encode(&"c".into(), &PeerMessage::Revision(2)).unwrap();
+    write(&c, &own.bytes).await;
     assert_eq!(at_a.recv().await, message("c", PeerMessage::Revision(2)));
-    until(&a, |c| c.refused == 1).await;
+    wait_until(&a, |c| c.refused == 1).await;
 }
 
-// A broken node sends more than a message may have, and a catalogue that nobody asked for. Both
-// streams are stopped before their bytes fill memory; other messages of the same and of other nodes
-// go on.
+// Guards against memory exhaustion by an oversized message or a catalogue that was not requested.
+// Both streams are stopped early; other messages from the same and from other nodes are received.
 #[tokio::test]
-async fn oversized_and_unasked_for_messages_are_refused() {
+async fn oversized_and_unrequested_messages_are_rejected() {
     let authority = authority();
     let (a, mut at_a, to_a) = start(&authority, "a");
     let c = dial(&config(&authority, "c"), &to_a).await;
     write(&c, &[&[VERSION, 0][..], &vec![0; CONTROL_LIMIT]].concat()).await;
     let push = PeerMessage::CatalogPush(CatalogPush { revision: 9, doc: "{}".into() });
     write(&c, &codec::encode(&"c".into(), &push).unwrap().bytes).await;
-    until(&a, |c| c.refused == 2).await;
+    wait_until(&a, |c| c.refused == 2).await;
     let pull = codec::encode(&"c".into(), &PeerMessage::MembersPull).unwrap();
     write(&c, &pull.bytes).await;
     assert_eq!(at_a.recv().await, message("c", PeerMessage::MembersPull));
@@ -178,11 +179,11 @@
     assert_eq!(at_a.recv().await, message("d", PeerMessage::Revision(2)));
 }
 
-// One node is stuck: it accepts connections, but never reads a stream, so that after a while no
-// stream can be opened to it. Messages to it are dropped after a bounded wait; those to another
-// node, queued after them, all arrive.
+// Guards against a stuck node that delays messages to others. It accepts connections but never
+// reads a stream, so that after a while no stream can be opened to it. Messages to it are dropped
+// after a bounded wait; those to another node, queued after them, all arrive.
 #[tokio::test]
-async fn a_node_that_never_reads_stalls_no_other() {
+async fn a_node_that_never_reads_delays_no_other() {
     let authority = authority();
     let stuck = config(&authority, "stuck");
     let server = tls::identity(&stuck).unwrap().server;
@@ -190,9 +191,9 @@
     let address = endpoint.local_addr().unwrap().to_string().into();
     let to_stuck = Target { name: "stuck".into(), address };
     tokio::spawn(async move {
-        let mut held = Vec::new();
+        let mut connections = Vec::new();
         while let Some(incoming) = endpoint.accept().await {
-            held.push(incoming.await);
+            connections.push(incoming.await);
         }
     });
     let (a, mut at_a, _) = start(&authority, "a");
@@ -211,13 +212,13 @@
         assert!(matches!(at_b.recv().await, Some(Received::Message { .. })));
     }
     assert_eq!(at_a.recv().await, Some(Received::Broken("stuck".into())));
-    until(&a, |c| c.dropped > 0).await;
+    wait_until(&a, |c| c.dropped > 0).await;
 }
 
-// A node dies and its address is taken by nobody. Whoever sends to it is told that the way is
-// broken, so that callers needn't wait for the silence to be noticed.
+// Guards against a crashed node that is noticed only by its silence: a send to an address at which
+// no process listens reports a broken connection.
 #[tokio::test]
-async fn a_lost_node_is_reported_broken() {
+async fn a_crashed_node_is_reported_as_broken() {
     let authority = authority();
     let (a, mut at_a, _) = start(&authority, "a");
     let (b, mut at_b, to_b) = start(&authority, "b");
@@ -228,14 +229,14 @@
 }
 
 #[tokio::test]
-async fn another_nodes_certificate_is_refused_at_start() {
+async fn another_nodes_certificate_is_rejected_at_start() {
     let mut config = config(&authority(), "a");
     config.name = "b".into();
     assert!(matches!(PeerNet::start(&config), Err(PeerError::Name { .. })));
 }
 
 #[tokio::test]
-async fn a_key_of_another_certificate_is_refused_at_start() {
+async fn a_key_of_another_certificate_is_rejected_at_start() {
     let mut config = config(&authority(), "a");
     config.key = KeyPair::generate().unwrap().serialize_pem().into_bytes();
     assert!(matches!(PeerNet::start(&config), Err(PeerError::Tls(_))));
@@ -252,19 +253,19 @@
     assert!(matches!(PeerNet::start(&config), Err(PeerError::Listen { .. })));
 }
 
-/// A node is down for seconds, and this one has tried in vain to reach it. When it is back and says so,
-/// it must be answered at once: it may ask for what it missed, and this node may ask it in turn, while
-/// callers are refused by an old catalogue.
+/// Guards against a delayed reply to a node that was down for seconds and that could not be reached
+/// meanwhile. Once it is back and sends a message, it must be answered at once: either node may
+/// need to request what it missed, while an old catalogue causes rejections.
 #[tokio::test]
-async fn a_node_that_is_back_is_answered_at_once() {
+async fn a_node_that_is_up_again_is_answered_at_once() {
     let authority = authority();
     let (a, mut at_a, to_a) = start(&authority, "a");
     let mut later = config(&authority, "b");
-    // Bound and given up, so that the address stays free until the node starts there.
+    // Bound and closed, so that the address stays free until the node starts there.
     later.listen =
         std::net::UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
     let to_b = Target { name: "b".into(), address: later.listen.to_string().into() };
-    // Several messages, so that another handshake is under way when the first one has failed.
+    // Several messages, so that another handshake is in progress when the first one has failed.
     for _ in 0..5 {
         a.send(std::slice::from_ref(&to_b), &PeerMessage::MembersPull).unwrap();
     }
@@ -279,14 +280,15 @@
     assert!(took < Duration::from_millis(300), "took {took:?}");
 }
 
-/// A node is killed and starts again at its address, without a word on the old connections. What is sent
-/// to it after it has connected must reach the new process, not vanish on the old connection.
+/// Guards against messages that are lost on an old connection when a node is killed and restarted
+/// at its address without closing its connections. Messages sent after it has connected must reach
+/// the new process.
 #[tokio::test]
-async fn a_new_process_gets_what_is_sent_to_it() {
+async fn a_restarted_process_receives_new_messages() {
     let authority = authority();
     let (a, mut at_a, to_a) = start(&authority, "a");
     let mut first = config(&authority, "b");
-    // Its packets go through a socket that is closed without a goodbye.
+    // Its socket is closed without a close frame on its connections.
     first.listen =
         std::net::UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
     let to_b = Target { name: "b".into(), address: first.listen.to_string().into() };
@@ -301,7 +303,8 @@
     a.send(std::slice::from_ref(&to_b), &PeerMessage::CatalogPull(1)).unwrap();
     assert_eq!(at_old.recv().await, message("a", PeerMessage::CatalogPull(1)));
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    // The runtime's end stops the process's tasks, its socket among them, at whatever point they are.
+    // The shutdown of the runtime stops the tasks of the process, including its socket, wherever
+    // they are.
     runtime.shutdown_background();
     drop((old, at_old));
     let (b, mut at_b) = restart(&first).await;
@@ -314,11 +317,13 @@
     assert!(took < Duration::from_millis(300), "took {took:?}");
 }
 
-/// Waits until a message of the node `a` comes, for ten seconds at most.
+/// Waits until this message of the node `a` is received, for ten seconds at most.
 async fn wait_for(events: &mut Receiver<Received>, expected: PeerMessage) {
     let expected = message("a", expected);
-    let come = async { while events.recv().await != expected {} };
-    tokio::time::timeout(Duration::from_secs(10), come).await.expect("the message comes");
+    let receive = async { while events.recv().await != expected {} };
+    tokio::time::timeout(Duration::from_secs(10), receive)
+        .await
+        .expect("the message was not received within 10 s");
 }
 
 fn clone(config: &PeerConfig) -> PeerConfig {
@@ -331,7 +336,7 @@
     }
 }
 
-/// Starts a node at an address that its former process may not have given up yet.
+/// Starts a node at an address that its former process may not have released yet.
 async fn restart(config: &PeerConfig) -> (PeerNet, Receiver<Received>) {
     loop {
         match PeerNet::start(config) {
--- a/tests/peer_codec.rs
+++ b/tests/peer_codec.rs
@@ -1,4 +1,4 @@
-//! The decoder of peer messages under bad bytes.
+//! The decoder of peer messages with invalid bytes.
 
 use {
     bilberryfront::peer::codec::{
@@ -20,7 +20,7 @@
 };
 
 const SEED: u64 = 0x5eed;
-const RUNS: u64 = 5_000;
+const CASES: u64 = 5_000;
 /// Flag of a compressed frame in the class byte.
 const COMPRESSED: u8 = 0x80;
 
@@ -37,7 +37,7 @@
     Claim { name: "b".into(), moment: moment(), state: NodeState::Gone, location: Some(location) }
 }
 
-/// Rows of a table; similar, as registrations of runners are.
+/// Returns a table update with similar rows, as registrations of runners are.
 fn table(rows: u64) -> TableUpdate {
     let row = |revision| TableRow {
         key: format!("runner-{revision}").into(),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn every_message_comes_back_as_it_was() {
+fn every_message_survives_a_round_trip() {
     for message in messages() {
         let frame = encode(&name(), &message).unwrap();
         assert_eq!(decode(&frame.bytes), Ok((name(), message)));
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn bytes_left_over_are_an_error() {
+fn trailing_bytes_are_an_error() {
     let mut bytes = encode(&name(), &PeerMessage::MembersPull).unwrap().bytes.to_vec();
     bytes.push(0);
     assert_eq!(decode(&bytes), Err(DecodeError::Garbled));
 }
 
 #[test]
-fn other_versions_and_classes_are_refused() {
+fn unknown_versions_and_classes_are_rejected() {
     let bytes = encode(&name(), &PeerMessage::Revision(1)).unwrap().bytes.to_vec();
     for version in (0..=u8::MAX).filter(|v| *v != VERSION) {
         let other = [&[version], &bytes[1..]].concat();
@@ -122,14 +122,15 @@
         let other = [&[VERSION, class], &bytes[2..]].concat();
         assert_eq!(decode(&other), Err(DecodeError::Header));
     }
-    // A small message must not use the limit of a larger class.
+    // A message must not use the size limit of a larger class.
     for class in [1, 2] {
         let other = [&[VERSION, class], &bytes[2..]].concat();
         assert_eq!(decode(&other), Err(DecodeError::Garbled));
     }
 }
 
-/// Load: registrations of hundreds of runners are sent to every node of a domain.
+/// Guards against large messages when the registrations of hundreds of runners are sent to every
+/// node of a failure domain.
 #[test]
 fn long_frames_are_compressed() {
     let frame = encode(&name(), &PeerMessage::Table(table(500))).unwrap();
@@ -137,7 +138,7 @@
     assert_eq!(frame.bytes[1], COMPRESSED | 2);
 }
 
-/// Guards against a few bytes that expand beyond the limit of their class.
+/// Guards against a few bytes that expand beyond the size limit of their class.
 #[test]
 fn compressed_frames_are_bounded_by_their_expanded_size() {
     for (class, limit) in [(0, CONTROL_LIMIT), (1, CATALOG_LIMIT), (2, TABLE_LIMIT)] {
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn oversized_frames_are_refused_by_class() {
+fn oversized_frames_are_rejected_by_class() {
     for (class, limit) in [(0, CONTROL_LIMIT), (1, CATALOG_LIMIT), (2, TABLE_LIMIT)] {
         let mut bytes = vec![0; limit + 1];
         (bytes[0], bytes[1]) = (VERSION, class);
@@ -159,7 +160,7 @@
     assert!(encode(&name(), &push).is_err());
 }
 
-// A length of 2^63 in a few bytes must not be allocated: it asks for more items than bytes follow.
+// A length of 2^63 in a few bytes must not be allocated: it states more items than bytes follow.
 #[test]
 fn a_length_beyond_the_bytes_is_an_error() {
     let text = encode(&name(), &PeerMessage::MembersPush(Vec::new())).unwrap().bytes;
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn too_many_items_are_refused() {
+fn too_many_items_are_rejected() {
     let updates = vec![Update::Node(claim()); 65];
     let (moment, state) = (moment(), NodeState::Ready);
     let heartbeat =
@@ -181,8 +182,8 @@
 
 #[test]
 fn random_bytes_never_panic() {
-    for run in 0..RUNS {
-        let mut g = Gen::from_size_and_seed(200, SEED + run);
+    for case in 0..CASES {
+        let mut g = Gen::from_size_and_seed(200, SEED + case);
         let body = Vec::<u8>::arbitrary(&mut g);
         let class = u8::from(bool::arbitrary(&mut g));
         _ = decode(&body);
@@ -194,8 +195,8 @@
 fn flipped_bytes_never_panic() {
     let frames: Vec<_> =
         messages().iter().map(|m| encode(&name(), m).unwrap().bytes.to_vec()).collect();
-    for run in 0..RUNS {
-        let mut g = Gen::from_size_and_seed(200, SEED + run);
+    for case in 0..CASES {
+        let mut g = Gen::from_size_and_seed(200, SEED + case);
         let mut bytes = g.choose(&frames).unwrap().clone();
         for _ in 0..3 {
             let at = usize::arbitrary(&mut g) % bytes.len();
--- a/tests/peer_members.rs
+++ b/tests/peer_members.rs
@@ -1,4 +1,4 @@
-//! Membership over the real peer face: nodes in one process, each with its own socket.
+//! Membership over the peer protocol: nodes in one process, each with its own socket.
 
 use {
     bilberryfront::peer::{PeerConfig, PeerNet, Received},
@@ -21,10 +21,10 @@
     },
 };
 
-/// What a test looks at: number of addresses and catalogue revision.
+/// State that a test observes: number of addresses and catalogue revision.
 type View = (usize, u64);
 
-/// A node without the rest: membership and the peer face, wired as the control thread does it.
+/// A node with only membership and the peer connections, wired as in the control thread.
 struct Node {
     net: PeerNet,
     events: mpsc::Receiver<Received>,
@@ -40,16 +40,16 @@
             tokio::select! {
                 _ = ticks.tick() => self.members.tick(Instant::now(), &mut out),
                 event = self.events.recv() => match event {
-                    Some(event) => self.take(&event, &mut out),
+                    Some(event) => self.handle_event(&event, &mut out),
                     None => return,
                 },
             }
-            out.into_iter().for_each(|o| self.act(o));
+            out.into_iter().for_each(|o| self.apply(o));
             self.view.send_replace((self.members.addresses().len(), self.members.revision()));
         }
     }
 
-    fn take(&mut self, event: &Received, out: &mut Vec<Output>) {
+    fn handle_event(&mut self, event: &Received, out: &mut Vec<Output>) {
         let now = Instant::now();
         match event {
             Received::Message { message: PeerMessage::CatalogPush(push), .. } => {
@@ -60,7 +60,7 @@
         }
     }
 
-    fn act(&self, output: Output) {
+    fn apply(&self, output: Output) {
         match output {
             Output::Send { to, message } => _ = self.net.send(&to, &message).unwrap(),
             Output::PushCatalog(to) => {
@@ -96,7 +96,7 @@
     }
 }
 
-/// Starts `n` nodes that all know the same list; node 0 has catalogue revision 1.
+/// Starts `n` nodes that all have the same list; node 0 has catalogue revision 1.
 fn start(n: usize) -> Vec<(watch::Receiver<View>, JoinHandle<()>, PeerNet)> {
     let mut params = CertificateParams::default();
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -126,17 +126,18 @@
         if i == 0 {
             members.set_revision(1, &mut Vec::new());
         }
-        let (view, seen) = watch::channel((0, 0));
+        let (view, observed) = watch::channel((0, 0));
         let node = Node { net: net.clone(), events, members, view };
-        (seen, tokio::spawn(node.run()), net)
+        (observed, tokio::spawn(node.run()), net)
     };
     nets.into_iter().enumerate().map(start).collect()
 }
 
-// Four nodes find each other from the list, and a catalogue that one has reaches all. One then
-// ends without a goodbye, and its connections break; the others stop sending callers to it.
+// Guards against nodes that do not find each other from the list, a catalogue that does not spread,
+// and a crashed node that stays in the address lists. The crashed node sends no leave message; the
+// others detect its broken connections.
 #[tokio::test]
-async fn nodes_meet_share_a_catalogue_and_drop_the_lost() {
+async fn nodes_share_a_catalogue_and_remove_a_crashed_node() {
     let mut nodes = start(4);
     for (view, ..) in &mut nodes {
         view.wait_for(|v| *v == (4, 1)).await.unwrap();
--- a/tests/relay/limits.rs
+++ b/tests/relay/limits.rs
@@ -23,7 +23,7 @@
 }
 
 impl System {
-    /// Creates a node in each failure domain of `nodes` and a plain runner in each one of `runners`.
+    /// Creates a node in each failure domain of `nodes` and a plain runner in each of `runners`.
     fn new(nodes: &[&'static str], runners: &[&'static str]) -> System {
         let deployment = Deployment::new(PLAIN, runners, &Script::Respond(200, "lodged"));
         let list = || nodes.iter().zip(1..).map(|(domain, index)| (index, *domain));
--- a/tests/relay_process.rs
+++ b/tests/relay_process.rs
@@ -293,7 +293,11 @@
         .await;
         platform.reject_store_requests(true);
         sleep(ms(500)).await;
-        assert_eq!(second.post("/lodge/3", "k2").await.unwrap().status, 401, "still revoked");
+        assert_eq!(
+            second.post("/lodge/3", "k2").await.unwrap().status,
+            401,
+            "a revoked key must stay rejected"
+        );
         assert_eq!(second.post("/lodge/4", "k1").await.unwrap().status, 200);
 
         let late = platform.start("n3");
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,24 +1,24 @@
-//! The scenarios of `scenarios/*.jsonc`, one test each; docs/SCENARIOS.md tells their language.
+//! The scenarios in `scenarios/*.jsonc`, one test each; docs/SCENARIOS.md documents their format.
 
 use {
     bilberryfront_scenarios::{play, play_storm},
     std::{collections::BTreeSet, fs},
 };
 
-/// Random scenarios that are played each time; `examples/storm.rs` plays others for as long as wanted.
-const STORMS: u64 = 30;
-/// Seeds that once showed a fault: a node that stopped serving cut a request.
-const KEPT: [u64; 2] = [13_465_374_914_762_312_253, 13_465_374_914_762_312_668];
+/// Number of random scenarios per run; `examples/storm.rs` runs others without a limit.
+const RANDOM_SCENARIOS: u64 = 30;
+/// Seeds that once found a fault: a node cut a request when it stopped serving.
+const REGRESSION_SEEDS: [u64; 2] = [13_465_374_914_762_312_253, 13_465_374_914_762_312_668];
 const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
 
-/// Declares one test a file, and the list of all.
+/// Declares one test per file, and the list of all files.
 macro_rules! scenarios {
     ($($name:ident)*) => {
         const LISTED: &[&str] = &[$(stringify!($name)),*];
         $(
             #[test]
             fn $name() {
-                play_file(stringify!($name));
+                run_file(stringify!($name));
             }
         )*
     };
@@ -96,7 +96,7 @@
     whole_answer_survives
 }
 
-fn play_file(name: &str) {
+fn run_file(name: &str) {
     let file = name.replace('_', "-");
     let text = fs::read_to_string(format!("{FOLDER}/{file}.jsonc")).unwrap();
     if let Err(broken) = play(&text) {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Without it a scenario that nobody listed would never run.
+/// Guards against a scenario file that is not listed and so never runs.
 #[test]
 fn every_file_is_listed() {
     let files =
@@ -114,10 +114,10 @@
     assert_eq!(files.collect::<BTreeSet<_>>(), listed);
 }
 
-/// Anything may come at any moment, together or twice.
+/// Guards against faults that appear only in random combinations of events.
 #[test]
-fn storms_of_fixed_seeds() {
-    for seed in (1..=STORMS).chain(KEPT) {
+fn random_scenarios_with_fixed_seeds() {
+    for seed in (1..=RANDOM_SCENARIOS).chain(REGRESSION_SEEDS) {
         if let Err(broken) = play_storm(seed) {
             panic!("storm {seed}: {broken}");
         }
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -1,4 +1,5 @@
-//! Plain services through real processes: what may be repeated, and what runs at most once.
+//! Plain services through processes: idempotent requests are retried, non-idempotent ones are
+//! executed at most once.
 
 use {
     bilberryfront_harness::{
@@ -43,7 +44,7 @@
     caller.service(node, Method::POST, &path, key, body.to_vec()).await.unwrap()
 }
 
-async fn executed(fleet: &Fleet) -> usize {
+async fn executed_count(fleet: &Fleet) -> usize {
     let mut total = 0;
     for service in &fleet.runners {
         let url = format!("{}/admin/log", service.url);
@@ -62,10 +63,10 @@
     answer.json().unwrap()
 }
 
-/// The caller posts one correction twice with one key, at two nodes at the same moment. It is
-/// executed once, and both posts get its answer.
+/// Guards against a double execution: the caller posts one correction twice with one key, to two
+/// nodes concurrently. It is executed once, and both requests get its response.
 #[tokio::test]
-async fn double_post_runs_once() {
+async fn concurrent_posts_are_executed_once() {
     let fleet = fleet(&["app-a", "app-b"]).await;
     for round in 0..10 {
         let key = format!("correction-{round}");
@@ -73,14 +74,15 @@
             tokio::join!(post(&fleet, 0, Some(&key), BODY), post(&fleet, 1, Some(&key), BODY));
         assert_eq!((one.status, two.status), (StatusCode::OK, StatusCode::OK));
         assert_eq!(one.body, two.body);
-        assert_eq!(executed(&fleet).await, round + 1);
+        assert_eq!(executed_count(&fleet).await, round + 1);
     }
 }
 
-/// The caller gets `unknown`: the service executed the correction and closed the connection. The
-/// retry with the same key isn't executed again, at either node.
+/// Guards against a second execution after a lost response: the service executed the correction and
+/// closed the connection, the caller gets `unknown`, and a retry with the same key is not executed
+/// at either node.
 #[tokio::test]
-async fn lost_answer_is_unknown() {
+async fn lost_response_is_unknown() {
     let fleet = fleet(&["app-a"]).await;
     lose_posts(&fleet, &fleet.runners[0], "/corrections", true, true).await;
     let first = problem(&post(&fleet, 0, Some("k"), BODY).await);
@@ -88,13 +90,14 @@
     for node in [0, 1] {
         assert_eq!(problem(&post(&fleet, node, Some("k"), BODY).await).run, Run::Unknown);
     }
-    assert_eq!(executed(&fleet).await, 1);
+    assert_eq!(executed_count(&fleet).await, 1);
 }
 
-/// The caller gets `not_run` at once, with when to come back: the table is down. Nothing reaches the
-/// service. Once the table is back, the same key runs once.
+/// Guards against calls that reach the service, or wait, while the table service is down: they are
+/// rejected at once with `not_run` and `Retry-After`. After the outage the same key is executed
+/// once.
 #[tokio::test]
-async fn table_down_refuses_at_once() {
+async fn calls_are_rejected_at_once_while_the_table_is_down() {
     let fleet = fleet(&["app-a"]).await;
     let reject = Some(Reject { status: 503, retry: None, path: "".into(), once: false });
     fleet.faults(&fleet.table, &Faults { reject, ..Faults::default() }).await.unwrap();
@@ -104,37 +107,37 @@
         assert!(answer.headers.contains_key("retry-after"));
         assert_eq!(problem(&answer).run, Run::NotRun);
     }
-    assert_eq!(executed(&fleet).await, 0);
+    assert_eq!(executed_count(&fleet).await, 0);
     fleet.faults(&fleet.table, &Faults::default()).await.unwrap();
-    until_done(&fleet, "k").await;
-    assert_eq!(executed(&fleet).await, 1);
+    retry_until_executed(&fleet, "k").await;
+    assert_eq!(executed_count(&fleet).await, 1);
 }
 
-async fn until_done(fleet: &Fleet, key: &str) {
+async fn retry_until_executed(fleet: &Fleet, key: &str) {
     for _ in 0..100 {
         if post(fleet, 0, Some(key), BODY).await.status == StatusCode::OK {
             return;
         }
         sleep(Duration::from_millis(100)).await;
     }
-    panic!("the call was refused for ever")
+    panic!("the call was still rejected after 100 attempts")
 }
 
-/// The caller gets its answer: the table's reply to the claim was lost after its effect, and the
-/// node reads back that the claim is its own.
+/// Guards against a rejected call when the reply to its claim was lost after the claim took effect:
+/// the node reads the claim back and recognizes it as its own.
 #[tokio::test]
 async fn lost_claim_is_read_back() {
     let fleet = fleet(&["app-a"]).await;
     lose_posts(&fleet, &fleet.table, "/commit", true, true).await;
     assert_eq!(post(&fleet, 0, Some("k"), BODY).await.status, StatusCode::OK);
     assert_eq!(post(&fleet, 1, Some("k"), BODY).await.status, StatusCode::OK);
-    assert_eq!(executed(&fleet).await, 1);
+    assert_eq!(executed_count(&fleet).await, 1);
 }
 
-/// The caller gets its answer although one of two services is dead and still in the list: no
-/// connection was made, so nothing ran, and the other one may.
+/// Guards against a failed call when one of two services has crashed and is still listed: no
+/// connection was opened, so the call was not executed and is sent to the other one.
 #[tokio::test]
-async fn dead_service_is_passed_by() {
+async fn crashed_service_is_skipped() {
     let mut fleet = fleet(&["app-a", "app-b"]).await;
     fleet.runners[0].process.kill();
     for round in 0..4 {
@@ -146,15 +149,15 @@
     assert_eq!(log.executed.len(), 4);
 }
 
-/// A correction is executed, and the caller posts it again after the last service has left. It gets
-/// the recorded answer: "not run" would make it post the correction anew. A call that nobody made
-/// before is not run.
+/// Guards against a second execution after the last service has left: a retry must get the recorded
+/// response, because after "not run" the caller would post the correction as a new call. A call
+/// that was never made is "not run".
 #[tokio::test]
-async fn retry_without_runner_gets_the_answer() {
+async fn retry_without_a_service_gets_the_recorded_response() {
     let fleet = fleet(&["app-a"]).await;
     let first = post(&fleet, 0, Some("k"), BODY).await;
     assert_eq!(first.status, StatusCode::OK);
-    until_done_elsewhere(&fleet, "k").await;
+    wait_until_recorded(&fleet, "k").await;
     let leave = format!("{}/instances/app-a/leave", fleet.list.url);
     api::post(fleet.client(), &leave, &()).await.unwrap();
     while get(&fleet, 1).await.status == StatusCode::OK {
@@ -163,11 +166,11 @@
     let again = post(&fleet, 1, Some("k"), BODY).await;
     assert_eq!((again.status, &again.body), (StatusCode::OK, &first.body));
     assert_eq!(problem(&post(&fleet, 1, Some("new"), BODY).await).run, Run::NotRun);
-    assert_eq!(executed(&fleet).await, 1);
+    assert_eq!(executed_count(&fleet).await, 1);
 }
 
-/// The answer goes to the caller before it is recorded; waits for the record.
-async fn until_done_elsewhere(fleet: &Fleet, key: &str) {
+/// Waits until the response is recorded, which happens after it is sent to the caller.
+async fn wait_until_recorded(fleet: &Fleet, key: &str) {
     while post(fleet, 1, Some(key), BODY).await.status != StatusCode::OK {
         sleep(Duration::from_millis(20)).await;
     }
@@ -180,25 +183,25 @@
     caller.service(node, Method::GET, &path, None, Vec::new()).await.unwrap()
 }
 
-/// The caller is told what is wrong with its call, and nothing of it is executed.
+/// Guards against invalid calls that are executed or rejected without the reason.
 #[tokio::test]
-async fn bad_calls_are_refused() {
+async fn invalid_calls_are_rejected() {
     let fleet = fleet(&["app-a"]).await;
     let missing = post(&fleet, 0, None, BODY).await;
     assert_eq!(missing.status, StatusCode::BAD_REQUEST);
     assert!(problem(&missing).detail.contains("Idempotency-Key"));
-    assert_eq!(executed(&fleet).await, 0);
+    assert_eq!(executed_count(&fleet).await, 0);
 
     assert_eq!(post(&fleet, 0, Some("k"), BODY).await.status, StatusCode::OK);
     let other = post(&fleet, 1, Some("k"), b"another body").await;
     assert_eq!(other.status, StatusCode::UNPROCESSABLE_ENTITY);
     assert_eq!(problem(&other).run, Run::NotRun);
-    assert_eq!(executed(&fleet).await, 1);
+    assert_eq!(executed_count(&fleet).await, 1);
 }
 
-/// The caller's look-up is answered although the service it met first drops the connection.
+/// Guards against an idempotent request that fails because the first service drops the connection.
 #[tokio::test]
-async fn lookups_are_repeated() {
+async fn idempotent_requests_are_retried() {
     let fleet = fleet(&["app-a", "app-b"]).await;
     assert_eq!(post(&fleet, 0, Some("k"), BODY).await.status, StatusCode::OK);
     for service in &fleet.runners {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: good ones are loaded, bad ones are refused with file, line and advice.
+//! Settings files: valid ones are loaded, invalid ones are rejected with file, line and help.
 
 #[path = "support/invalid_files.rs"]
 mod invalid_files;
@@ -29,8 +29,8 @@
     CertifiedIssuer::self_signed(params, KeyPair::generate().unwrap()).unwrap()
 }
 
-/// Writes `NAME.pem` and `NAME.key` for the DNS name, good until the end of `year`.
-fn certify(folder: &Path, authority: &Authority, name: &str, dns: &str, year: i32) {
+/// Writes `NAME.pem` and `NAME.key` for the DNS name, valid until the end of `year`.
+fn write_certificate(folder: &Path, authority: &Authority, name: &str, dns: &str, year: i32) {
     let key = KeyPair::generate().unwrap();
     let mut params = CertificateParams::new(vec![dns.into()]).unwrap();
     params.not_after = date_time_ymd(year, 12, 31);
@@ -39,12 +39,12 @@
     fs::write(folder.join(format!("{name}.key")), key.serialize_pem()).unwrap();
 }
 
-fn prepared(test: &str) -> PathBuf {
+fn settings_folder(test: &str) -> PathBuf {
     let folder = folder::folder(test);
     let authority = authority();
-    certify(&folder, &authority, "node", "tg-1", 4_000);
-    certify(&folder, &authority, "other", "tg-2", 4_000);
-    certify(&folder, &authority, "expired", "tg-1", 2_020);
+    write_certificate(&folder, &authority, "node", "tg-1", 4_000);
+    write_certificate(&folder, &authority, "other", "tg-2", 4_000);
+    write_certificate(&folder, &authority, "expired", "tg-1", 2_020);
     fs::write(folder.join("authority.pem"), authority.pem()).unwrap();
     fs::write(folder.join("other-authority.pem"), self::authority().pem()).unwrap();
     fs::write(folder.join("broken.pem"), "no certificate").unwrap();
@@ -56,7 +56,7 @@
 
 #[test]
 fn good_settings_are_loaded_with_paths_from_their_folder() {
-    let folder = prepared("good_settings");
+    let folder = settings_folder("good_settings");
     let settings = settings::load(&folder.join("good.jsonc")).unwrap();
     assert_eq!(settings.name, "tg-1");
     assert_eq!(settings.tls.key, folder.join("node.key"));
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
-    let folder = prepared("default_settings");
+fn omitted_fields_have_their_defaults() {
+    let folder = settings_folder("default_settings");
     let text = fs::read_to_string(folder.join("good.jsonc")).unwrap();
     let short: Vec<_> = text
         .lines()
@@ -78,19 +78,19 @@
 }
 
 #[test]
-fn check_tells_good_settings() {
-    let outcome = run(&prepared("check_settings"), &["check", "good.jsonc"]);
+fn check_accepts_valid_settings() {
+    let outcome = run(&settings_folder("check_settings"), &["check", "good.jsonc"]);
     assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
     assert_eq!(outcome.stdout, "good.jsonc: good settings of node `tg-1`\n");
 }
 
 #[test]
-fn bad_settings_are_refused_with_file_line_and_advice() {
-    assert!(check_invalid_files(&prepared("bad_settings"), "settings") >= 20);
+fn invalid_settings_are_rejected_with_file_line_and_help() {
+    assert!(check_invalid_files(&settings_folder("bad_settings"), "settings") >= 20);
 }
 
-/// Example `n` of the page on configuration.
-fn documented(n: usize) -> String {
+/// Returns example `n` of the configuration page.
+fn documented_example(n: usize) -> String {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/CONFIGURATION.md");
     let page = fs::read_to_string(page).unwrap();
     let example = page.split("```jsonc\n").nth(n + 1).unwrap();
@@ -98,10 +98,10 @@
 }
 
 #[test]
-fn the_documented_examples_pass_their_check() {
-    let folder = prepared("documented");
-    fs::write(folder.join("settings.jsonc"), documented(0)).unwrap();
-    fs::write(folder.join("catalogue.jsonc"), documented(1)).unwrap();
+fn the_documented_examples_pass_check() {
+    let folder = settings_folder("documented");
+    fs::write(folder.join("settings.jsonc"), documented_example(0)).unwrap();
+    fs::write(folder.join("catalogue.jsonc"), documented_example(1)).unwrap();
     let outcome = run(&folder, &["check", "settings.jsonc", "catalogue.jsonc"]);
     assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
 }
@@ -117,8 +117,8 @@
 }
 
 #[test]
-fn all_faults_are_told_in_the_order_of_the_file() {
-    let folder = prepared("two_faults");
+fn all_faults_are_reported_in_the_order_of_the_file() {
+    let folder = settings_folder("two_faults");
     let text = fs::read_to_string(folder.join("good.jsonc")).unwrap();
     let text = text.replace("\"threads\": 4", "\"threads\": 0").replace("tg-1", "");
     fs::write(folder.join("bad.jsonc"), text).unwrap();
@@ -129,19 +129,19 @@
 }
 
 #[test]
-fn serve_refuses_bad_settings_before_it_starts() {
-    let folder = prepared("serve_bad_settings");
+fn serve_rejects_invalid_settings_before_it_starts() {
+    let folder = settings_folder("serve_bad_settings");
     fs::write(folder.join("bad.jsonc"), "{\"name\": 1}").unwrap();
     let outcome = run(&folder, &["serve", "--settings", "bad.jsonc"]);
     assert_eq!(outcome.code, Some(1));
     assert!(outcome.stderr.contains("[bad.jsonc:1:10]"), "{}", outcome.stderr);
 }
 
-/// Another process holds the callers' port. Without a clear answer the operator sees a node that
-/// exits and no reason; so the address and the way out are told, with an exit code of its own.
+/// Guards against a node that exits without a clear error when another process uses the port: the
+/// error must state the address and the likely cause, with an exit code of its own.
 #[test]
-fn serve_tells_an_occupied_port() {
-    let folder = prepared("occupied_port");
+fn serve_reports_an_occupied_port() {
+    let folder = settings_folder("occupied_port");
     let holder = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = holder.local_addr().unwrap().to_string();
     let text = fs::read_to_string(folder.join("good.jsonc")).unwrap();
@@ -156,8 +156,8 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_told() {
-    let outcome = run(&prepared("absent_settings"), &["check", "absent.jsonc"]);
+fn a_missing_file_is_reported() {
+    let outcome = run(&settings_folder("absent_settings"), &["check", "absent.jsonc"]);
     assert_eq!(outcome.code, Some(1));
     assert!(outcome.stderr.contains("cannot read absent.jsonc"), "{}", outcome.stderr);
 }
--- a/tests/settings_logs.rs
+++ b/tests/settings_logs.rs
@@ -1,4 +1,5 @@
-//! Log lines as the settings ask. The logger is the process's own, so each case has a process.
+//! Log lines as configured. The logger is global to a process, so each case runs in its own
+//! process.
 
 use {
     bilberryfront::{
@@ -9,17 +10,17 @@
     std::{env, process::Command},
 };
 
-/// Tells the process of a case which form to write.
-const FORM: &str = "BILBERRYFRONT_TEST_FORM";
+/// Environment variable that sets the format which the process of a case writes.
+const FORMAT_VARIABLE: &str = "BILBERRYFRONT_TEST_FORM";
 
-/// Target of the product's own lines.
-const OURS: &str = "bilberryfront::control";
+/// Target of the program's own lines.
+const OWN_TARGET: &str = "bilberryfront::control";
 
-/// Runs the case named `test` in a process of its own and gives its log lines.
-fn lines(test: &str, form: &str) -> Vec<String> {
+/// Runs the case named `test` in its own process and returns its log lines.
+fn lines(test: &str, format: &str) -> Vec<String> {
     let output = Command::new(env::current_exe().unwrap())
         .args(["--exact", test, "--nocapture"])
-        .env(FORM, form)
+        .env(FORMAT_VARIABLE, format)
         .output()
         .unwrap();
     let text = String::from_utf8(output.stderr).unwrap();
@@ -28,16 +29,16 @@
 
 fn write_lines(format: LogFormat) {
     logs::start(&Log { format, level: "warn".into() });
-    log::info!(target: OURS, "the node is quiet");
+    log::info!(target: OWN_TARGET, "the node is quiet");
     log::error!(target: "volo_http::client", "a node's connection failed");
-    log::warn!(target: OURS, node = "tg-2"; "node is lost");
+    log::warn!(target: OWN_TARGET, node = "tg-2"; "node is lost");
 }
 
-/// An outage of the platform fails each call, and the HTTP library writes lines for each failed
-/// connection. They would drown the lines for changes of state, so only the product's own are kept.
+/// Guards against a log full of lines of the HTTP library: during an outage of the platform it
+/// writes some for each failed connection, so only the program's own lines are kept.
 #[test]
 fn json_lines_are_documents_with_level_and_fields() {
-    if env::var_os(FORM).is_some() {
+    if env::var_os(FORMAT_VARIABLE).is_some() {
         return write_lines(LogFormat::Json);
     }
     let lines = lines("json_lines_are_documents_with_level_and_fields", "json");
@@ -49,11 +50,11 @@
 }
 
 #[test]
-fn text_lines_are_for_people() {
-    if env::var_os(FORM).is_some() {
+fn text_lines_are_plain_text() {
+    if env::var_os(FORMAT_VARIABLE).is_some() {
         return write_lines(LogFormat::Text);
     }
-    let lines = lines("text_lines_are_for_people", "text");
+    let lines = lines("text_lines_are_plain_text", "text");
     assert_eq!(lines.len(), 1, "{lines:?}");
     assert!(lines[0].contains("WARN") && lines[0].contains("node is lost"), "{lines:?}");
     assert!(!lines[0].contains('\u{1b}'), "{lines:?}");
--- a/tests/settings_metrics.rs
+++ b/tests/settings_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics as a collector receives them.
+//! Metrics as a StatsD collector receives them.
 
 use {
     bilberryfront::{
@@ -13,12 +13,12 @@
     tokio::time::sleep,
 };
 
-/// Longest wait for a datagram that was already sent over loopback; only a failure takes it.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest wait for a datagram that was already sent over loopback; only a failing test reaches it.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn collector() -> (UdpSocket, Metrics) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
     let statsd: SocketAddr = socket.local_addr().unwrap();
     let metrics = Metrics::start(Some(&settings::Metrics { statsd })).unwrap();
     (socket, metrics)
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn counts_are_added_up_and_sent_by_a_flush() {
+fn counters_are_summed_and_sent_by_a_flush() {
     let (socket, metrics) = collector();
     for _ in 0..1_000 {
         metrics.clone().add(Counter::Tokens, 2);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn gauges_and_times_go_with_the_next_flush() {
+fn gauges_and_timers_are_sent_by_the_next_flush() {
     let (socket, metrics) = collector();
     metrics.set(Gauge::Running, 7);
     metrics.time(Timing::FirstToken, Duration::from_micros(3));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn every_name_is_its_own() {
+fn metric_names_are_unique() {
     let names = Counter::ALL
         .iter()
         .map(|c| c.name())
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Long generations through real processes that die, freeze or are left.
+//! Long streams through processes that are killed, suspended or disconnected.
 
 use {
     bilberryfront_harness::{
@@ -27,30 +27,34 @@
 
 use deployment::{PROMPT, TOKENS, expected, fleet, request};
 
-/// Waits until the stream has come so far.
-async fn reached(seen: &mut watch::Receiver<u32>, events: u32) {
-    seen.wait_for(|e| *e >= events).await.unwrap();
+/// Waits until the stream has received this many events.
+async fn wait_for_events(events: &mut watch::Receiver<u32>, count: u32) {
+    events.wait_for(|e| *e >= count).await.unwrap();
 }
 
-/// Streams an answer and does something to the fleet in its middle.
-async fn disturbed(fleet: &mut Fleet, at: u32, act: impl AsyncFnOnce(&mut Fleet)) -> Received {
+/// Sends a streamed request and calls `act` when the response has `at` events.
+async fn stream_with_fault(
+    fleet: &mut Fleet,
+    at: u32,
+    act: impl AsyncFnOnce(&mut Fleet),
+) -> Received {
     let nodes = fleet.urls();
-    let (progress, mut seen) = watch::channel(0);
+    let (progress, mut events) = watch::channel(0);
     let caller = Caller::new(CALLER_KEY);
     let request = request();
-    let stream = caller.stream(&nodes, &request, |got| {
-        progress.send_replace(got.events);
+    let stream = caller.stream(&nodes, &request, |received| {
+        progress.send_replace(received.events);
     });
     let act = async {
-        reached(&mut seen, at).await;
+        wait_for_events(&mut events, at).await;
         act(fleet).await;
     };
-    let (got, ()) = tokio::join!(stream, act);
-    got.unwrap()
+    let (received, ()) = tokio::join!(stream, act);
+    received.unwrap()
 }
 
-/// Which runner is writing; waits for one.
-async fn busy(fleet: &Fleet) -> usize {
+/// Waits for a runner that generates tokens; returns its index.
+async fn wait_for_busy_runner(fleet: &Fleet) -> usize {
     for _ in 0..1_000 {
         for (at, runner) in fleet.runners.iter().enumerate() {
             let url = format!("{}/load", runner.url);
@@ -61,97 +65,100 @@
         }
         sleep(Duration::from_millis(2)).await;
     }
-    panic!("no runner is writing")
+    panic!("no runner generated tokens in time")
 }
 
-/// The caller sees one whole answer. Two runners are killed one after the other in its middle, and
-/// the third goes on each time from the next index.
+/// Guards against an incomplete response when two runners are killed one after the other during a
+/// stream: the remaining runners resume from the next index.
 #[tokio::test]
-async fn two_deaths_in_one_answer() {
+async fn two_runners_killed_during_one_stream() {
     let mut fleet = fleet(&["runner-a", "runner-b", "runner-c"], &["node-a"]).await;
-    let got = disturbed(&mut fleet, 20, async |fleet| {
+    let received = stream_with_fault(&mut fleet, 20, async |fleet| {
         for _ in 0..2 {
-            let at = busy(fleet).await;
+            let at = wait_for_busy_runner(fleet).await;
             fleet.runners[at].process.kill();
         }
     })
     .await;
-    assert_eq!(got.text, expected());
-    assert_eq!((got.tokens, got.resumes), (TOKENS, 0));
+    assert_eq!(received.text, expected());
+    assert_eq!((received.tokens, received.resumes), (TOKENS, 0));
 }
 
-/// The caller sees one whole answer. The runner is frozen in the middle, the node finds it silent
-/// and goes on elsewhere; the frozen one wakes and writes its old tokens to nobody.
+/// Guards against old tokens of a suspended runner. The node detects that it is silent and resumes
+/// at another runner; the suspended one continues later and sends the rest of its tokens on a
+/// closed connection.
 #[tokio::test]
-async fn frozen_runner_wakes_late() {
+async fn suspended_runner_continues_late() {
     let mut fleet = fleet(&["runner-a", "runner-b"], &["node-a"]).await;
     let mut frozen = 0;
-    let got = disturbed(&mut fleet, 20, async |fleet| {
-        frozen = busy(fleet).await;
+    let received = stream_with_fault(&mut fleet, 20, async |fleet| {
+        frozen = wait_for_busy_runner(fleet).await;
         fleet.runners[frozen].process.freeze();
     })
     .await;
     fleet.runners[frozen].process.thaw();
-    assert_eq!(got.text, expected());
-    assert_eq!((got.tokens, got.resumes), (TOKENS, 0));
+    assert_eq!(received.text, expected());
+    assert_eq!((received.tokens, received.resumes), (TOKENS, 0));
 }
 
-/// The caller's node is killed in the middle. The caller sends the id of its last event and the text
-/// it holds to the other node, which never saw the request, and gets exactly the rest.
+/// Guards against lost or repeated tokens when the caller's node is killed. The caller sends the id
+/// of its last event and the text that it has to the other node, which never received the request.
 #[tokio::test]
 async fn caller_resumes_at_another_node() {
     let mut fleet = fleet(&["runner-a", "runner-b"], &["node-a", "node-b"]).await;
-    let got = disturbed(&mut fleet, 40, async |fleet| fleet.nodes[0].server.process.kill()).await;
-    assert_eq!(got.text, expected());
-    assert_eq!(got.tokens, TOKENS);
-    assert!(got.resumes >= 1, "the first node was killed");
+    let received =
+        stream_with_fault(&mut fleet, 40, async |fleet| fleet.nodes[0].server.process.kill()).await;
+    assert_eq!(received.text, expected());
+    assert_eq!(received.tokens, TOKENS);
+    assert!(received.resumes >= 1, "the first node was killed, so the caller must have resumed");
 }
 
-/// The caller lost the last events that its node had sent, and resumes from an older one. The new
-/// node makes the missing tokens again; none comes twice.
+/// Guards against repeated tokens when the caller resumes from an older event than the last one
+/// that was sent. The new node generates the missing tokens again.
 #[tokio::test]
-async fn resume_older_than_what_was_sent() {
+async fn resume_from_an_older_event() {
     let fleet = fleet(&["runner-a"], &["node-a", "node-b"]).await;
     let caller = Caller::new(CALLER_KEY);
     let nodes = fleet.urls();
     let mut older = None;
     let request = request();
-    let whole = caller.stream(&nodes[..1], &request, |got| {
-        if got.events == 50 {
-            older = Some(got.clone());
+    let whole = caller.stream(&nodes[..1], &request, |received| {
+        if received.events == 50 {
+            older = Some(received.clone());
         }
     });
     assert_eq!(whole.await.unwrap().text, expected());
-    let mut got = older.unwrap();
-    caller.stream_once(&nodes[1], &request, &mut got, &mut |_| {}).await.unwrap();
-    assert_eq!(got.text, expected());
-    assert!(got.is_whole());
+    let mut received = older.unwrap();
+    caller.stream_once(&nodes[1], &request, &mut received, &mut |_| {}).await.unwrap();
+    assert_eq!(received.text, expected());
+    assert!(received.is_whole());
 }
 
-/// The caller gets the part that was made and is told at once that the rest won't come and when to
-/// resume: the only runner of the version died. Once a runner is back, the resume completes it.
+/// Guards against a caller that waits when the only runner of the version was killed: it gets the
+/// text so far and is told at once when to resume. Once a runner is available, the resume completes
+/// the response.
 #[tokio::test]
 async fn no_runner_is_left() {
     let mut fleet = fleet(&["runner-a"], &["node-a"]).await;
     let caller = Caller::new(CALLER_KEY);
     let node = fleet.urls().remove(0);
-    let (progress, mut seen) = watch::channel(0);
-    let mut got = Received::default();
+    let (progress, mut events) = watch::channel(0);
+    let mut received = Received::default();
     let request = request();
-    let mut on_text = |got: &Received| {
-        progress.send_replace(got.events);
+    let mut on_text = |received: &Received| {
+        progress.send_replace(received.events);
     };
-    let stream = caller.stream_once(&node, &request, &mut got, &mut on_text);
+    let stream = caller.stream_once(&node, &request, &mut received, &mut on_text);
     let kill = async {
-        reached(&mut seen, 30).await;
+        wait_for_events(&mut events, 30).await;
         fleet.runners[0].process.kill();
     };
     let (ended, ()) = tokio::join!(stream, kill);
     ended.unwrap();
-    let problem = got.problem.clone().expect("it was cut");
-    assert_eq!((problem.run, got.is_whole()), (Run::Partial, false));
+    let problem = received.problem.clone().expect("the response was cut");
+    assert_eq!((problem.run, received.is_whole()), (Run::Partial, false));
     assert!(problem.retry_after.is_some());
-    assert!(expected().starts_with(&got.text) && got.events >= 30);
+    assert!(expected().starts_with(&received.text) && received.events >= 30);
 
     let tokens = TOKENS.to_string();
     fleet
@@ -159,43 +166,43 @@
         .unwrap();
     let nodes = fleet.urls();
     for _ in 0..100 {
-        got.problem = None;
-        caller.stream_once(&nodes[0], &request, &mut got, &mut |_| {}).await.unwrap();
-        if got.is_whole() {
+        received.problem = None;
+        caller.stream_once(&nodes[0], &request, &mut received, &mut |_| {}).await.unwrap();
+        if received.is_whole() {
             break;
         }
         sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(got.text, expected());
+    assert_eq!(received.text, expected());
 }
 
-/// The caller is told `not_run`, and when to come back: the only runner is dead and still in the list,
-/// so no connection was made and no byte of the request has left.
+/// Guards against an unknown outcome when the only runner has crashed and is still listed: no
+/// connection was opened and nothing was sent, so the response is `not_run` with a retry time.
 #[tokio::test]
 async fn no_connection_is_not_run() {
     let mut fleet = fleet(&["runner-a"], &["node-a"]).await;
     fleet.runners[0].process.kill();
-    let mut got = Received::default();
+    let mut received = Received::default();
     let (caller, node) = (Caller::new(CALLER_KEY), fleet.urls().remove(0));
-    caller.stream_once(&node, &request(), &mut got, &mut |_| {}).await.unwrap();
-    let problem = got.problem.expect("nobody could answer");
+    caller.stream_once(&node, &request(), &mut received, &mut |_| {}).await.unwrap();
+    let problem = received.problem.expect("no runner could respond");
     assert_eq!((problem.run, problem.retry_after.is_some()), (Run::NotRun, true));
 }
 
-/// The caller leaves in the middle; the runner's work is cancelled and not paid for to the end.
+/// Guards against a run that continues after its caller has disconnected.
 #[tokio::test]
-async fn caller_leaves() {
+async fn caller_disconnects() {
     let fleet = fleet(&["runner-a"], &["node-a"]).await;
     let caller = Caller::new(CALLER_KEY);
     let nodes = fleet.urls();
-    let (progress, mut seen) = watch::channel(0);
+    let (progress, mut events) = watch::channel(0);
     let request = request();
-    let stream = caller.stream(&nodes, &request, |got| {
-        progress.send_replace(got.events);
+    let stream = caller.stream(&nodes, &request, |received| {
+        progress.send_replace(received.events);
     });
     tokio::select! {
-        _ = stream => panic!("it was to be left in the middle"),
-        () = reached(&mut seen, 20) => {}
+        _ = stream => panic!("the stream ended before the caller disconnected"),
+        () = wait_for_events(&mut events, 20) => {}
     }
     let url = format!("{}/admin/log", fleet.runners[0].url);
     for _ in 0..500 {
@@ -205,20 +212,20 @@
         }
         sleep(Duration::from_millis(10)).await;
     }
-    panic!("the runner was never told");
+    panic!("the run was not cancelled in time");
 }
 
-/// The caller asks for one JSON answer. The runner dies in the middle, and since the caller has seen
-/// nothing, whatever happens behind is none of its business: the answer is whole.
+/// Guards against a failed response without streaming when the runner is killed: the caller has
+/// received nothing, so the request can be resumed and the response is complete.
 #[tokio::test]
-async fn answer_in_one_piece() {
+async fn response_without_streaming() {
     let mut fleet = fleet(&["runner-a", "runner-b"], &["node-a"]).await;
     let request = CompletionRequest { stream: false, ..request() };
     let caller = Caller::new(CALLER_KEY);
     let node = fleet.urls().remove(0);
     let answer = caller.complete(&node, &request);
     let kill = async {
-        let at = busy(&fleet).await;
+        let at = wait_for_busy_runner(&fleet).await;
         fleet.runners[at].process.kill();
     };
     let (answer, ()) = tokio::join!(answer, kill);
@@ -228,10 +235,11 @@
     assert_eq!(answer.usage.unwrap().completion_tokens, TOKENS);
 }
 
-/// Two callers send equal bodies at the same moment to runners whose sampling differs with every
-/// attempt. Each gets a coherent answer to its own request, although one runner dies in the middle.
+/// Guards against mixed responses when two callers send equal bodies concurrently, one runner is
+/// killed, and sampling differs with every attempt: each response must be one attempt and its own
+/// continuation.
 #[tokio::test]
-async fn equal_bodies_never_mix() {
+async fn equal_bodies_are_not_mixed() {
     let mut fleet = fleet(&["runner-a", "runner-b"], &["node-a"]).await;
     for runner in &fleet.runners {
         let faults = Faults { differs: true, ..Faults::default() };
@@ -241,7 +249,7 @@
     let caller = Caller::new(CALLER_KEY);
     let request = request();
     let kill = async {
-        let at = busy(&fleet).await;
+        let at = wait_for_busy_runner(&fleet).await;
         fleet.runners[at].process.kill();
     };
     let (one, two, ()) = tokio::join!(
@@ -249,14 +257,15 @@
         caller.stream(&nodes, &request, |_| {}),
         kill
     );
-    for got in [one.unwrap(), two.unwrap()] {
-        assert_eq!((got.events, got.tokens), (TOKENS, TOKENS));
-        assert!(coherent(&got.text), "tokens of two attempts that never met: {}", got.text);
+    for received in [one.unwrap(), two.unwrap()] {
+        assert_eq!((received.events, received.tokens), (TOKENS, TOKENS));
+        assert!(is_coherent(&received.text), "mixed tokens of two attempts: {}", received.text);
     }
 }
 
-/// Whether the text is attempt 1's up to some token and attempt 2's continuation of it from there.
-fn coherent(text: &str) -> bool {
+/// Returns whether the text is the start of attempt 1 followed by the continuation of exactly this
+/// start by attempt 2.
+fn is_coherent(text: &str) -> bool {
     let part = |attempt, prefix: &str, range: std::ops::Range<u32>| -> String {
         let prefix = xxhash_rust::xxh64::xxh64(prefix.as_bytes(), 0);
         let sampling = Sampling::Differs { attempt, prefix };
