--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -14,10 +14,10 @@
         catalog::{Engine, Kind},
         dialect::{Dialect, SendOptions},
         fleet::{Criteria, Endpoint, Fleet, RunnerKey, Version},
-        log_messages::{FAILURE_PASSED, REFUSED},
+        log_messages::{ERROR_RETURNED, REJECTED},
         metrics::{Metrics, Outcome},
         network::Network,
-        refusal::Refusal,
+        rejection::Rejection,
         rollouts::{
             RolloutSample,
             exposure::{Bound, Exposure},
@@ -130,7 +130,7 @@
         if outcome == Outcome::Failed {
             let waited = start.elapsed().as_millis() as u64;
             log::info!(request = id.as_str(), status = response.status().as_u16(), waited;
-                "{FAILURE_PASSED}");
+                "{ERROR_RETURNED}");
         }
         let latency = (outcome == Outcome::Served).then(|| start.elapsed());
         self.metrics.count_request(kind, outcome, latency);
@@ -217,18 +217,18 @@
 
     /// Returns a rejection whose `Retry-After` is random, but not shorter than the time until a
     /// runner accepts requests.
-    fn not_run_rejection(&self, call: &Call) -> Refusal {
+    fn not_run_rejection(&self, call: &Call) -> Rejection {
         let wait = self.client.fleet.time_until_ready(&call.service).unwrap_or_default();
         let least = wait.max(MIN_RETRY_AFTER);
-        Refusal::NotRun { retry: rand::rng().random_range(least..least + RETRY_AFTER_JITTER) }
+        Rejection::NotRun { retry: rand::rng().random_range(least..least + RETRY_AFTER_JITTER) }
     }
 
-    fn reject(&self, call: &Call, refusal: Refusal) -> Response<ResponseBody> {
+    fn reject(&self, call: &Call, rejection: Rejection) -> Response<ResponseBody> {
         let waited = call.start.elapsed().as_millis() as u64;
-        self.metrics.count_refusal(refusal);
+        self.metrics.count_rejection(rejection);
         log::warn!(request = call.head.id.as_str(), route = call.route.name.as_str(), waited,
-            ready = self.client.fleet.ready_count(&call.service); "{REFUSED}{refusal:?}");
-        refusal.into_response(&self.client.dialect, Some(&call.head.id))
+            ready = self.client.fleet.ready_count(&call.service); "{REJECTED}{rejection:?}");
+        rejection.into_response(&self.client.dialect, Some(&call.head.id))
     }
 }
 
--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -5,7 +5,7 @@
         cause,
         line::{Line, Logs},
     },
-    bilberryfront_relay::log_messages::{IN_FORCE, SERVES},
+    bilberryfront_relay::log_messages::{CATALOG_APPLIED, SERVING},
     compact_str::CompactString,
     jiff::{SignedDuration, Timestamp},
     serde::Serialize,
@@ -16,11 +16,11 @@
 const REQUEST_FIELD: &str = "request";
 /// Fields with the id of a runner.
 const RUNNER_FIELDS: [&str; 4] = ["runner", "holder", "replica", "former"];
-/// Time before a subject's first line in which related lines are included. An outage is logged only when it
-/// starts, and lasts for seconds.
+/// Time before a subject's first line in which related lines are included. An outage is logged only
+/// when it starts, and lasts for seconds.
 const TIME_BEFORE: SignedDuration = SignedDuration::from_secs(10);
-/// Time after a subject's last line in which related lines are included. If a failure domain fails, the
-/// failure of its other runners is detected within this time.
+/// Time after a subject's last line in which related lines are included. If a failure domain fails,
+/// the failure of its other runners is detected within this time.
 const TIME_AFTER: SignedDuration = SignedDuration::from_millis(500);
 
 /// The subject of a history.
@@ -106,8 +106,8 @@
     }
 }
 
-/// Selects the lines that are related to a subject: about the dependencies of its instances, or about its
-/// runners, and close in time.
+/// Selects the lines that are related to a subject: about the dependencies of its instances, or
+/// about its runners, and close in time.
 struct RelatedLines {
     nodes: BTreeSet<CompactString>,
     runners: BTreeSet<CompactString>,
@@ -136,7 +136,7 @@
             (self.from..=self.to).contains(&line.order) && self.nodes.contains(&line.node);
         let runner = |field| line.text(field).is_some_and(|id| self.runners.contains(id));
         let is_relevant = line.fields.contains_key("table")
-            || [IN_FORCE, SERVES].contains(&line.message.as_str())
+            || [CATALOG_APPLIED, SERVING].contains(&line.message.as_str())
             || RUNNER_FIELDS.into_iter().any(runner);
         is_near && is_relevant && !line.fields.contains_key(REQUEST_FIELD)
     }
@@ -158,7 +158,7 @@
 }
 
 fn is_catalogue(line: &Line, version: u64) -> bool {
-    line.message == IN_FORCE && line.number("version") == Some(version)
+    line.message == CATALOG_APPLIED && line.number("version") == Some(version)
 }
 
 /// Formats the message and the fields of a line, except empty fields and the request id.
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -1,7 +1,7 @@
 //! Parsing of the log lines of entry instances.
 
 use {
-    bilberryfront_relay::log_messages::SERVES,
+    bilberryfront_relay::log_messages::SERVING,
     compact_str::CompactString,
     jiff::Timestamp,
     serde::Deserialize,
@@ -13,8 +13,8 @@
 pub struct Line {
     /// Time of the line, by the instance's clock.
     pub at: Timestamp,
-    /// Latest time of this line and of all lines before it in its file, so that a clock that is set back
-    /// doesn't change the order of the lines.
+    /// Latest time of this line and of all lines before it in its file, so that a clock that is set
+    /// back doesn't change the order of the lines.
     pub order: Timestamp,
     /// Name of the instance.
     pub node: CompactString,
@@ -43,8 +43,8 @@
 }
 
 impl Logs {
-    /// Adds the log file of one instance. `name` is used as the name of the instance unless the log contains
-    /// it.
+    /// Adds the log file of one instance. `name` is used as the name of the instance unless the log
+    /// contains it.
     pub fn add(&mut self, name: &str, text: &str) {
         let mut order = Timestamp::MIN;
         let first = self.lines.len();
@@ -58,7 +58,7 @@
             self.lines.push(Line { at, order, node: name.into(), message, fields });
         }
         let added = &mut self.lines[first..];
-        let own = added.iter().find(|l| l.message == SERVES).and_then(|l| l.text("name"));
+        let own = added.iter().find(|l| l.message == SERVING).and_then(|l| l.text("name"));
         if let Some(own) = own.map(CompactString::from) {
             added.iter_mut().for_each(|line| line.node = own.clone());
         }
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -110,8 +110,8 @@
     pub async fn next(&mut self) -> Option<Piece> {
         while !self.has_ended {
             let step = match self.current.take() {
-                // Boxed because the HTTP client's future takes several kilobytes, which the stream would
-                // otherwise hold as long as it lasts.
+                // Boxed because the HTTP client's future takes several kilobytes, which the stream
+                // would otherwise hold as long as it lasts.
                 None => Box::pin(self.start_attempt()).await,
                 Some(attempt) => self.read(attempt).await,
             };
@@ -124,7 +124,7 @@
     }
 
     async fn start_attempt(&mut self) -> Option<Piece> {
-        let ask = RunnerRequest {
+        let request = RunnerRequest {
             ticket: self.ticket,
             entry: self.job.entry,
             account: self.job.account,
@@ -133,7 +133,7 @@
             avoid: self.avoid,
             purpose: self.purpose,
         };
-        let grant = match self.control.ask(ask).await {
+        let grant = match self.control.request_runner(request).await {
             Ok(grant) => grant,
             Err(rejection) => return self.on_rejection(&rejection),
         };
@@ -142,7 +142,7 @@
         }
         self.purpose = Purpose::Retry;
         let lease = Lease::new(self.control.clone(), grant, self.chooser.trial());
-        let generate = self.runner_request(&lease.grant);
+        let generate = self.generate_request(&lease.grant);
         let wait = millis(self.job.limits.first_ms);
         let opened = self.engines.open(&lease.grant.url, &generate, wait).await;
         self.is_sent |= !matches!(opened, Err(Failure::Unsent));
@@ -155,7 +155,7 @@
         }
     }
 
-    fn runner_request(&mut self, grant: &Grant) -> Generate {
+    fn generate_request(&mut self, grant: &Grant) -> Generate {
         let attempt = self.generation.start_attempt(&grant.version);
         Generate {
             request: self.job.runner_request.clone(),
@@ -250,8 +250,8 @@
         Some(Piece::Finish(finish.reason))
     }
 
-    /// Handles a failed attempt: prepares another one, unless the response is complete or no retry is
-    /// allowed.
+    /// Handles a failed attempt: prepares another one, unless the response is complete or no retry
+    /// is allowed.
     fn on_failure(&mut self, failure: Failure, mut lease: Lease) -> Option<Piece> {
         let verdict = match failure {
             Failure::Lost(verdict) => verdict,
@@ -284,9 +284,10 @@
         None
     }
 
-    /// Handles a rejection by the core: starts over if no token was delivered and another version may
-    /// serve the request, otherwise ends the generation. A request rejected by the retry budget is not
-    /// started over: that would bypass the budget, and the retries would overload the remaining runners.
+    /// Handles a rejection by the core: starts over if no token was delivered and another version
+    /// may serve the request, otherwise ends the generation. A request rejected by the retry budget
+    /// is not started over: that would bypass the budget, and the retries would overload the
+    /// remaining runners.
     fn on_rejection(&mut self, rejection: &Rejection) -> Option<Piece> {
         let has_no_runner = rejection.reason == Reason::NoRunner;
         let can_restart = self.generation.try_restart() || self.generation.pin().is_none();
