--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -80,7 +80,7 @@
         self.failed_at.is_some()
     }
 
-    /// Returns whether the runner has failed within [`FAILURE_WINDOW`].
+    /// Returns whether the runner has failed within `FAILURE_WINDOW`.
     pub fn has_failed_recently(&self, now: Instant) -> bool {
         self.failed_at.is_some_and(|at| now < at + FAILURE_WINDOW)
     }
@@ -90,7 +90,7 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether the runner is in a cool-down or has ended one within [`UNSTABLE_PERIOD`].
+    /// Returns whether the runner is in a cool-down or has ended one within `UNSTABLE_PERIOD`.
     pub fn is_unstable(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until + UNSTABLE_PERIOD)
     }
