--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -100,8 +100,7 @@
 ) -> Response {
     parse_json(&body, |instance: Instance| match instance.name == name {
         true => list.change(&name, Change::Upsert(instance)),
-        false => (StatusCode::BAD_REQUEST, "the instance's name differs from the name in the path")
-            .into_response(),
+        false => (StatusCode::BAD_REQUEST, "the names differ").into_response(),
     })
 }
 
--- a/src/catalogue/store.rs
+++ b/src/catalogue/store.rs
@@ -32,7 +32,7 @@
 #[derive(thiserror::Error)]
 pub enum StoreError {
     /// Nothing was read or written.
-    #[error("the table service is unavailable: {0}")]
+    #[error("the table service gives no answer: {0}")]
     Down(PlatformError),
     /// Replies were lost: the change may have been accepted.
     #[error("the table service's replies were lost; change {apply} may have been accepted")]
@@ -41,7 +41,7 @@
         apply: CompactString,
     },
     /// A row is missing or can't be decoded.
-    #[error("row {key} is corrupt: {reason}")]
+    #[error("row {key} is damaged: {reason}")]
     Damaged {
         /// Key of the row.
         key: CompactString,
--- a/src/intents.rs
+++ b/src/intents.rs
@@ -214,7 +214,7 @@
     async fn peek(&self, call: &Call) -> Claim {
         let row = call.row();
         let read = match self.batch.is_open() {
-            true => Err(PlatformError::Down("the table failed recently".into())),
+            true => Err(PlatformError::Down("the table has just failed".into())),
             false => self.read(&row).await,
         };
         match read {
@@ -314,7 +314,7 @@
         let read = Read { keys: vec![row.clone()] };
         let rows = match timeout(self.limits.reply_timeout, self.table.read(&read)).await {
             Ok(rows) => rows?.rows,
-            Err(_) => return Err(PlatformError::Lost("the table did not reply in time".into())),
+            Err(_) => return Err(PlatformError::Lost("the table is slow".into())),
         };
         rows.into_iter().find(|r| r.key == *row).map(|r| decode(&r)).transpose()
     }
--- a/src/intents/batch.rs
+++ b/src/intents/batch.rs
@@ -147,9 +147,7 @@
         let (reply, answer) = oneshot::channel();
         self.shared.push(QueuedWrite { write, reply, queued_at: Instant::now() })?;
         self.shared.queued.notify_one();
-        answer
-            .await
-            .unwrap_or_else(|_| Err(PlatformError::Lost("the node is shutting down".into())))
+        answer.await.unwrap_or_else(|_| Err(PlatformError::Lost("the node is stopping".into())))
     }
 
     /// Returns whether the circuit breaker is open, because the table failed recently.
@@ -176,9 +174,9 @@
     fn push(&self, item: QueuedWrite) -> Result<()> {
         let mut state = self.lock();
         let rejection = if state.queue.len() >= self.limits.capacity() {
-            Some("the queue of writes is full")
+            Some("too many writes wait")
         } else if !state.breaker.allow(Instant::now()) {
-            Some("the table failed recently")
+            Some("the table has just failed")
         } else {
             None
         };
@@ -251,7 +249,7 @@
     fn start_commit(&mut self) {
         let limits = self.shared.limits;
         let expired = self.shared.take_expired();
-        let rejection = PlatformError::Down("the write timed out in the queue".into());
+        let rejection = PlatformError::Down("the write waited too long".into());
         expired.into_iter().for_each(|i| i.answer(Err(rejection.clone())));
         let items = self.shared.take_batch();
         if items.is_empty() {
@@ -265,7 +263,7 @@
             match timeout(limits.reply_timeout, table.commit(&commit)).await {
                 Ok(result) => CompletedCommit { items, result, timed_out: false },
                 Err(_) => {
-                    let result = Err(PlatformError::Lost("the table did not reply in time".into()));
+                    let result = Err(PlatformError::Lost("the table is slow".into()));
                     CompletedCommit { items, result, timed_out: true }
                 }
             }
@@ -317,8 +315,6 @@
     let committed = result?;
     match committed.results.len() == rows {
         true => Ok(committed),
-        false => Err(PlatformError::Lost(
-            "the table's reply has another number of rows than the commit".into(),
-        )),
+        false => Err(PlatformError::Lost("the table answered for other rows".into())),
     }
 }
--- a/src/operator/refusal.rs
+++ b/src/operator/refusal.rs
@@ -34,13 +34,13 @@
     #[error("send `Authorization: Bearer KEY` with a key whose digest the node's settings list")]
     Key,
     /// The path doesn't exist.
-    #[error("this path does not exist; see docs/OPERATORS.md")]
+    #[error("nothing is at this path; see docs/OPERATORS.md")]
     Path,
     /// The body is too long.
-    #[error("the body exceeds {0} bytes")]
+    #[error("the body is longer than {0} bytes")]
     Long(usize),
     /// The body can't be parsed.
-    #[error("the body is malformed: {0}")]
+    #[error("the body is not of the form that the path takes: {0}")]
     Body(String),
     /// The catalogue is invalid.
     #[error("{}", .0.join("; "))]
@@ -77,12 +77,12 @@
     #[error("the entry has version `{0}` already")]
     SameVersion(CompactString),
     /// Another move of the entry is in progress, with this id.
-    #[error("move {0} of the entry is in progress; wait until it ends, or undo it")]
+    #[error("move {0} of the entry is under way; it settles or is undone first")]
     OtherMove(CompactString),
     /// The deadline is too close to collect the evidence.
     #[error(
-        "collecting the evidence takes {} s: the earliest deadline is {earliest}; use that, or force the \
-         move with less evidence",
+        "the evidence takes {} s: the earliest deadline is {earliest}; give that, or force the move \
+         and do with less evidence",
         takes.as_secs()
     )]
     Late {
@@ -92,7 +92,7 @@
         earliest: Timestamp,
     },
     /// The table did not reply to the write of a move.
-    #[error("the table service did not reply; the move may still take effect")]
+    #[error("the table service gives no answer; the move may still take effect")]
     MoveUnknown,
     /// Error of the catalogue store.
     #[error(transparent)]
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -24,10 +24,10 @@
 #[derive(thiserror::Error)]
 pub enum PlatformError {
     /// The call had no effect.
-    #[error("the platform is unavailable: {0}")]
+    #[error("the platform is down: {0}")]
     Down(String),
     /// The call may have had an effect, but its response was lost.
-    #[error("the platform's response was lost: {0}")]
+    #[error("the platform's answer was lost: {0}")]
     Lost(String),
 }
 
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -81,10 +81,8 @@
             return Ok(guard);
         }
         let detail = match view.ready {
-            true => "the node is draining: request the addresses from another node",
-            false => {
-                "the node is starting and has not received a catalogue and an instance list yet"
-            }
+            true => "the node is leaving: ask another for addresses",
+            false => "the node is starting and has no catalogue or instance list yet",
         };
         Err(problem::with_retry_after(not_run(Kind::NotServing, detail), NOT_SERVING_RETRY))
     }
--- a/src/traffic/body.rs
+++ b/src/traffic/body.rs
@@ -29,10 +29,8 @@
     match timeout(BODY_TIMEOUT, collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large(limit)),
-        Ok(Err(error)) => {
-            Err(not_run(Kind::BadRequest, format!("the body could not be read: {error}")))
-        }
-        Err(_) => Err(not_run(Kind::SlowBody, "the body was not received within 10 s")),
+        Ok(Err(error)) => Err(not_run(Kind::BadRequest, format!("the body broke off: {error}"))),
+        Err(_) => Err(not_run(Kind::SlowBody, "send the whole body within 10 s")),
     }
 }
 
@@ -45,5 +43,5 @@
 }
 
 fn too_large(limit: u32) -> Problem {
-    not_run(Kind::TooLarge, format!("the body exceeds {limit} bytes"))
+    not_run(Kind::TooLarge, format!("send at most {limit} bytes"))
 }
--- a/src/traffic/completions.rs
+++ b/src/traffic/completions.rs
@@ -84,7 +84,7 @@
     let new_id: CompactString = format_compact!("{:032x}", rand::random::<u128>());
     let (id, generation) = match last_event(headers)? {
         None if request.resume.is_some() => {
-            return Err(not_run(Kind::BadRequest, "`resume` requires the header `Last-Event-ID`"));
+            return Err(not_run(Kind::BadRequest, "`resume` goes with `Last-Event-ID`"));
         }
         None => (new_id.clone(), Generation::new(seed, max, request.stream)),
         Some(event) => (event.request.clone(), resumed(seed, max, &request, entry, &event)?),
@@ -128,10 +128,9 @@
     match request.max_tokens {
         None => Ok(limit),
         Some(max) if (1..=limit).contains(&max) => Ok(max),
-        Some(_) => Err(not_run(
-            Kind::BadRequest,
-            format!("`max_tokens`: expected a number from 1 to {limit}"),
-        )),
+        Some(_) => {
+            Err(not_run(Kind::BadRequest, format!("`max_tokens`: send a number from 1 to {limit}")))
+        }
     }
 }
 
@@ -139,7 +138,7 @@
     let Some(value) = headers.get(LAST_EVENT_ID) else { return Ok(None) };
     let id = value.to_str().ok().and_then(|v| v.parse().ok());
     id.map(Some).ok_or_else(|| {
-        not_run(Kind::BadRequest, "`Last-Event-ID`: expected the unmodified id of an event")
+        not_run(Kind::BadRequest, "`Last-Event-ID`: send the id of the last event as it came")
     })
 }
 
@@ -152,17 +151,14 @@
 ) -> Result<Generation> {
     let mismatch = |detail| not_run(Kind::ResumeMismatch, detail);
     if !request.stream {
-        return Err(not_run(Kind::BadRequest, "`Last-Event-ID` requires `stream` to be true"));
+        return Err(not_run(Kind::BadRequest, "`Last-Event-ID` goes with `stream`"));
     }
     if !entry.versions.contains(&event.version) {
-        return Err(mismatch(
-            "the version that started the response is no longer available: send a new request",
-        ));
+        return Err(mismatch("the version that began the answer is gone: ask anew"));
     }
     let text = request.resume.as_deref().unwrap_or_default();
-    Generation::resume(seed, max, event, text).ok_or_else(|| {
-        mismatch("expected the same body, and in `resume` all text up to that event")
-    })
+    Generation::resume(seed, max, event, text)
+        .ok_or_else(|| mismatch("send the same body, and in `resume` all text up to that event"))
 }
 
 /// Returns the class and the size of the prompt: a faulty version may fail for long prompts only.
--- a/src/traffic/fallback.rs
+++ b/src/traffic/fallback.rs
@@ -15,7 +15,7 @@
 /// Rejects a request whose headers are too large, for any path.
 pub async fn check_headers(cx: &mut ServerContext, request: Request, next: Next) -> Response {
     if size(request.headers()) > MAX_HEADER_BYTES {
-        let detail = format!("the headers exceed {} KiB", MAX_HEADER_BYTES >> 10);
+        let detail = format!("send at most {} KiB of headers", MAX_HEADER_BYTES >> 10);
         return problem::response(&not_run(Kind::HeadersTooLarge, detail));
     }
     match next.run(cx, request).await {
@@ -26,7 +26,7 @@
 
 /// Rejects an unknown path.
 pub async fn not_found() -> Response {
-    let detail = "the available paths are /v1/addresses, /v1/completions, /v1/services/ENTRY/PATH, /healthz \
+    let detail = "the paths are /v1/addresses, /v1/completions, /v1/services/ENTRY/PATH, /healthz \
                   and /readyz";
     problem::response(&not_run(Kind::NotFound, detail))
 }
@@ -42,7 +42,7 @@
 }
 
 fn method_not_allowed(method: &Method) -> Response {
-    let detail = format!("this path supports only {method}");
+    let detail = format!("this path takes only {method}");
     let mut response = problem::response(&not_run(Kind::MethodNotAllowed, detail));
     let allow = HeaderValue::from_str(method.as_str()).expect("a method is a token");
     response.headers_mut().insert(ALLOW, allow);
--- a/src/traffic/problem.rs
+++ b/src/traffic/problem.rs
@@ -156,19 +156,13 @@
 /// Returns the problem for a rejection by the core.
 pub fn from_rejection(rejection: &Rejection) -> Problem {
     let (kind, detail) = match rejection.reason {
-        Reason::NoEntry => (Kind::UnknownEntry, "the entry was removed from the catalogue"),
-        Reason::NoAccess => (Kind::Forbidden, "request access from the entry's owner"),
-        Reason::AccountLimit => {
-            (Kind::AccountLimit, "wait until some of the account's requests have completed")
-        }
-        Reason::EntryLimit => {
-            (Kind::Overloaded, "the entry's concurrency limit is reached and its queue is full")
-        }
-        Reason::WaitTooLong => {
-            (Kind::Overloaded, "the expected wait is longer than the entry allows")
-        }
-        Reason::NoRunner => (Kind::NoRunner, "no runner of the entry's version is available"),
-        Reason::NoBudget => (Kind::NoRunner, "the retry budget is exhausted"),
+        Reason::NoEntry => (Kind::UnknownEntry, "the entry was just taken out of the catalogue"),
+        Reason::NoAccess => (Kind::Forbidden, "ask the entry's owner for access"),
+        Reason::AccountLimit => (Kind::AccountLimit, "wait until some of your requests have ended"),
+        Reason::EntryLimit => (Kind::Overloaded, "the entry's limit and its queue are full"),
+        Reason::WaitTooLong => (Kind::Overloaded, "the wait would be longer than the entry allows"),
+        Reason::NoRunner => (Kind::NoRunner, "no live runner of the entry's version"),
+        Reason::NoBudget => (Kind::NoRunner, "too many requests are being tried again"),
     };
     let problem = not_run(kind, detail);
     match rejection.retry_after {
--- a/src/traffic/send.rs
+++ b/src/traffic/send.rs
@@ -99,7 +99,7 @@
     async fn send(&self, call: Outgoing, wait: Duration) -> Sent {
         match timeout(wait, self.exchange(call)).await {
             Ok(sent) => sent,
-            Err(_) => Sent::Unknown("the runner did not respond within the timeout".into()),
+            Err(_) => Sent::Unknown("no answer in time".into()),
         }
     }
 }
--- a/src/traffic/services/job.rs
+++ b/src/traffic/services/job.rs
@@ -122,8 +122,7 @@
 
 /// Splits the path into the entry's name and the path and query for its runner.
 fn split(head: &Parts) -> Result<(&str, String)> {
-    let bad_path =
-        || not_run(ProblemKind::BadRequest, "expected a path of the form /v1/services/ENTRY/PATH");
+    let bad_path = || not_run(ProblemKind::BadRequest, "the path is /v1/services/ENTRY/PATH");
     let rest = head.uri.path().strip_prefix(PREFIX).ok_or_else(bad_path)?;
     let (name, path) = rest.split_once('/').ok_or_else(bad_path)?;
     let query = head.uri.query().map(|q| format!("?{q}")).unwrap_or_default();
--- a/src/traffic/services/once.rs
+++ b/src/traffic/services/once.rs
@@ -50,7 +50,7 @@
         drop(guard);
         result
     });
-    task.await.unwrap_or_else(|_| Err(unknown("the call was aborted inside the node")))
+    task.await.unwrap_or_else(|_| Err(unknown("the call broke off inside the node")))
 }
 
 async fn run_call<T: Table, X: Exchange>(
@@ -83,7 +83,7 @@
             Attempt::Unsent(runner) => avoid = Some(runner),
         }
     }
-    let problem = not_run(Kind::NoRunner, "no connection to a runner could be established");
+    let problem = not_run(Kind::NoRunner, "no runner took a connection");
     Err(problem::with_retry_after(problem, RETRY_AFTER))
 }
 
@@ -155,10 +155,7 @@
 ) -> Attempt {
     if !permit.begin() {
         services.intents.settle(permit, Outcome::NotRun).await;
-        let problem = not_run(
-            Kind::NoRunner,
-            "the node was paused too long after its claim to send the call safely",
-        );
+        let problem = not_run(Kind::NoRunner, "the node was paused for too long to send safely");
         return Attempt::Ended(Err(problem::with_retry_after(problem, RETRY_AFTER)));
     }
     let wait = Duration::from_millis(job.limits.call_ms.into());
@@ -180,7 +177,7 @@
         Sent::Unknown(error) => {
             lease.verdict = Verdict::Broken;
             record(services, permit, Outcome::Unknown);
-            Attempt::Ended(Err(unknown(format!("the runner may have run the call: {error}"))))
+            Attempt::Ended(Err(unknown(format!("the runner may have run it: {error}"))))
         }
     }
 }
@@ -196,23 +193,21 @@
 fn result_of_claim(claim: Claim) -> Result<Reply> {
     match claim {
         Claim::Outcome(Outcome::Answer(kept)) => replay(&kept),
-        Claim::Outcome(_) => {
-            Err(unknown("the runner may have run the call, and its response was lost"))
-        }
+        Claim::Outcome(_) => Err(unknown("the runner may have run it, and its answer was lost")),
         Claim::Mismatch => {
-            let detail = "this Idempotency-Key was used before with another method, path or body";
+            let detail = "this Idempotency-Key came with another method, path or body before";
             Err(not_run(Kind::KeyMismatch, detail))
         }
         Claim::NotRun(error) => {
-            let detail = format!("retry with the same key: {error}");
+            let detail = format!("send it again with the same key: {error}");
             Err(problem::with_retry_after(not_run(Kind::StoreDown, detail), RETRY_AFTER))
         }
         Claim::Busy(_) => {
-            let problem = unknown("the same call is in progress; retry with the same key");
+            let problem = unknown("the same call is under way; ask again with the same key");
             Err(problem::with_retry_after(problem, RETRY_AFTER))
         }
         Claim::Unknown => {
-            let problem = unknown("the table service did not respond; retry with the same key");
+            let problem = unknown("the table gave no answer; ask again with the same key");
             Err(problem::with_retry_after(problem, RETRY_AFTER))
         }
         Claim::Granted(_) => unreachable!("a granted claim is sent"),
@@ -221,9 +216,7 @@
 
 fn replay(kept: &Answer) -> Result<Reply> {
     let Some(body) = answer::body(&kept.body) else {
-        return Err(unknown(
-            "the call was run; its response was too long to be recorded for a retry",
-        ));
+        return Err(unknown("it was run; its answer was too long to be kept for a retry"));
     };
     let headers = kept.headers.iter().filter_map(|(name, value)| {
         Some((HeaderName::try_from(name.as_str()).ok()?, HeaderValue::from_str(value).ok()?))
--- a/src/traffic/services/repeat.rs
+++ b/src/traffic/services/repeat.rs
@@ -69,8 +69,7 @@
         avoid = Some(lease.grant.runner);
         purpose = Purpose::Retry;
     }
-    let problem =
-        not_run(Kind::NoRunner, format!("{MAX_ATTEMPTS} runners did not respond successfully"));
+    let problem = not_run(Kind::NoRunner, format!("{MAX_ATTEMPTS} runners failed to answer"));
     Err(unknown(problem::with_retry_after(problem, RETRY_AFTER)))
 }
 
--- a/src/traffic/stream.rs
+++ b/src/traffic/stream.rs
@@ -260,7 +260,7 @@
                 lease.verdict = Verdict::Rejected;
                 lease.will_retry = false;
                 self.generation.runner_lost();
-                let detail = format!("the runner rejected the request with status {status}");
+                let detail = format!("the runner answered {status}");
                 return Some(Piece::Failed(unknown(not_run(Kind::RunnerRefused, detail))));
             }
         };
@@ -275,7 +275,7 @@
             return None;
         }
         if !self.generation.may_retry() {
-            let problem = not_run(Kind::NoRunner, "the request failed at too many runners");
+            let problem = not_run(Kind::NoRunner, "too many runners failed this request");
             return Some(self.give_up(problem::with_retry_after(problem, RESUME_AFTER)));
         }
         lease.will_retry = true;
