--- a/src/catalogue/store.rs
+++ b/src/catalogue/store.rs
@@ -77,6 +77,8 @@
 /// An entry of the catalogue's history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
+// Operators get the text of decoding errors, so the name in it stays the same.
+#[serde(expecting = "struct Past")]
 pub struct HistoryEntry {
     /// The revision.
     pub revision: Revision,
