--- a/crates/decide/src/core/entry_state.rs
+++ b/crates/decide/src/core/entry_state.rs
@@ -15,12 +15,13 @@
     pub(crate) queue: Queue,
     /// Retry budget.
     pub(crate) budget: Budget,
-    /// Exponential moving average of the time that requests spent at their runner.
+    /// Exponential moving average of the durations of requests at their runner, in seconds. Includes
+    /// only requests that completed successfully.
     mean_secs: Option<f64>,
 }
 
 impl EntryState {
-    /// Returns the number of waiting requests.
+    /// Returns the number of waiting requests, including retries, which [`Queue::len`] excludes.
     pub(crate) fn waiting(&self) -> usize {
         self.queue.retries.len() + self.queue.len()
     }
@@ -34,7 +35,7 @@
 
     /// Returns the expected time until `count` requests have ended while `running` run: by Little's
     /// law they end at a rate of `running` divided by the mean duration. Returns `None` before the
-    /// first request has ended.
+    /// first request has completed successfully.
     pub(crate) fn time_to_finish(&self, count: usize, running: u32) -> Option<Duration> {
         let rate = f64::from(running.max(1)) / self.mean_secs?;
         Some(Duration::from_secs_f64(count as f64 / rate))
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -43,8 +43,8 @@
     /// A request no longer needs a runner, because its caller disconnected while it was queued or
     /// between two attempts. Ignored for a granted request, which ends by [`Event::Done`].
     Cancel(Ticket),
-    /// The first token or the response header of a granted request arrived. Clears the suspicion of
-    /// the runner immediately, as the request may run for minutes until it is done.
+    /// The first token or the response header of a granted request arrived. Marks a suspect runner as
+    /// healthy immediately, as the request may run for minutes until it is done.
     Started(Ticket),
     /// A granted request ended.
     Done(Done),
@@ -67,7 +67,7 @@
     pub prefix: Option<u64>,
     /// Only version that may serve the request; set for every attempt but the first.
     pub pin: Option<CompactString>,
-    /// Runner that has just failed the request.
+    /// Runner on which the request has just failed.
     pub avoid: Option<RunnerKey>,
     /// Purpose of the request.
     pub purpose: Purpose,
@@ -117,9 +117,11 @@
     Broken,
     /// The runner sent nothing for longer than the entry's time limit.
     Stalled,
-    /// The runner responded with an error status.
+    /// The runner rejected the request with an error status. Other complete responses of a service
+    /// are [`Verdict::Ok`], including those with a server error.
     Rejected,
-    /// The stream violated the protocol, such as by a skipped index or an end without a finish.
+    /// The stream violated the protocol, such as by a skipped index or an end without a finish
+    /// reason.
     Garbled,
     /// The caller disconnected.
     Cancelled,
--- a/crates/decide/src/id.rs
+++ b/crates/decide/src/id.rs
@@ -18,8 +18,8 @@
     pub struct PoolKey;
 }
 
-/// Identifier of a request for a runner, from its [`crate::Event::Request`] to its end. Chosen by
-/// the user of the core and unique for the lifetime of the node process.
+/// Identifier of a request for a runner. Chosen by the caller of the core and unique for the lifetime
+/// of the node process. A retry reuses the ticket of the attempt that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
--- a/crates/decide/src/mover.rs
+++ b/crates/decide/src/mover.rs
@@ -59,7 +59,8 @@
     pub by: Millis,
     /// Priorities.
     pub weights: Weights,
-    /// Whether to start although the time is too short for sufficient evidence.
+    /// Whether to start even if the deadline is too close to collect sufficient evidence; the steps
+    /// are then shortened to fit.
     pub force: bool,
 }
 
--- a/crates/decide/src/mover/record.rs
+++ b/crates/decide/src/mover/record.rs
@@ -37,11 +37,12 @@
     pub from: CompactString,
     /// New version.
     pub to: CompactString,
-    /// Wall-clock time of the operator's request.
+    /// Wall-clock time at which a node received the operator's request and planned the move.
     pub started: Millis,
     /// Deadline; a move that has not settled by then is rolled back.
     pub by: Millis,
-    /// Whether to start although the time is too short for sufficient evidence.
+    /// Whether to start even if the deadline is too close to collect sufficient evidence; the steps
+    /// are then shortened to fit.
     pub force: bool,
     /// The operator's priorities.
     pub weights: Weights,
@@ -76,7 +77,7 @@
     #[error("malformed row of a version move: {0}")]
     Syntax(String),
     /// No steps, too many steps, decreasing or excessive shares, or a current step out of range.
-    #[error("row of a version move has invalid steps")]
+    #[error("row of a version move has invalid steps or a current step out of range")]
     Steps,
 }
 
--- a/crates/harness/src/caller.rs
+++ b/crates/harness/src/caller.rs
@@ -1,4 +1,4 @@
-//! Client of the callers' interface. It fetches node addresses, streams completions and resumes an
+//! Client of the HTTP API for callers. It fetches node addresses, streams completions and resumes an
 //! interrupted stream on another node.
 
 use {
@@ -22,7 +22,8 @@
 
 /// Maximum resumes of one completion.
 const MAX_RESUMES: u32 = 20;
-/// Delay before a resume if the node sent no `retry_after`.
+/// Delay before a resume after a failed connection or an incomplete stream without a problem. A
+/// problem states its own delay in `retry_after`, or ends the completion if it states none.
 const RESUME_DELAY: Duration = Duration::from_millis(100);
 
 /// A caller with an API key.
@@ -37,7 +38,7 @@
 pub struct Received {
     /// Text of all events.
     pub text: String,
-    /// Number of events with text.
+    /// Number of events without a finish reason.
     pub events: u32,
     /// Id of the last event.
     pub last: String,
@@ -45,10 +46,11 @@
     pub finish: Option<FinishReason>,
     /// Token count reported by the node.
     pub tokens: u32,
-    /// Longest time between two consecutive events with text; after a resume, from its request to its
-    /// first event.
+    /// Longest time between two consecutive events without a finish reason; after a resume, from its
+    /// request to its first event.
     pub gap: Duration,
-    /// Time from the request to the first event with text.
+    /// Time to the first event without a finish reason, from the request of the attempt that received
+    /// it.
     pub first: Duration,
     /// Problem that ended the last attempt, if any.
     pub problem: Option<Problem>,
@@ -100,22 +102,23 @@
         call(&self.client, method, &url, &headers, body).await
     }
 
-    /// Streams a completion. Resumes it on the next node in turn until it is complete, or fails with a
-    /// problem that states no `retry_after`.
+    /// Streams a completion, and calls `on_event` after each event. Resumes the completion on the next
+    /// node in turn until it is complete, fails with a problem without `retry_after`, or has been
+    /// resumed [`MAX_RESUMES`] times.
     pub async fn stream(
         &self,
         nodes: &[String],
         request: &CompletionRequest,
-        on_text: impl FnMut(&Received),
+        on_event: impl FnMut(&Received),
     ) -> io::Result<Received> {
         let mut received = Received::default();
-        let mut on_text = on_text;
+        let mut on_event = on_event;
         for attempt in 0..=MAX_RESUMES {
             let node = &nodes[attempt as usize % nodes.len()];
             received.resumes = attempt;
             received.problem = None;
             // After a connection error, the loop resumes the stream.
-            _ = self.stream_once(node, request, &mut received, &mut on_text).await;
+            _ = self.stream_once(node, request, &mut received, &mut on_event).await;
             let is_final = received.problem.as_ref().is_some_and(|p| p.retry_after.is_none());
             if received.is_whole() || is_final {
                 break;
@@ -126,13 +129,14 @@
         Ok(received)
     }
 
-    /// Streams a completion from one node, resuming after the part in `received`.
+    /// Streams a completion from one node, resuming after the part in `received`. Calls `on_event`
+    /// after each event, including errors and the event with the finish reason.
     pub async fn stream_once(
         &self,
         node: &str,
         request: &CompletionRequest,
         received: &mut Received,
-        on_text: &mut impl FnMut(&Received),
+        on_event: &mut impl FnMut(&Received),
     ) -> io::Result<()> {
         let mut request = CompletionRequest { stream: true, ..request.clone() };
         let mut post = self.client.post(format!("{node}/v1/completions"));
@@ -141,7 +145,7 @@
             request.resume = Some(received.text.clone());
             post = post.header("last-event-id", received.last.as_str());
         }
-        let mut last = Instant::now();
+        let mut last_event_at = Instant::now();
         let response = post
             .body(Body::from(to_json(&request)))
             .send::<Body>()
@@ -156,15 +160,20 @@
             if event.data() == Some(DONE) {
                 return Ok(());
             }
-            apply_event(&event, received, &mut last)?;
-            on_text(received);
+            apply_event(&event, received, &mut last_event_at)?;
+            on_event(received);
         }
         Ok(())
     }
 }
 
-/// Adds an event to the received part; `last` is the time of the previous event.
-fn apply_event(event: &SseEvent, received: &mut Received, last: &mut Instant) -> io::Result<()> {
+/// Adds an event to the received part. `last_event_at` is the time of the previous event, or of the
+/// request before the first one.
+fn apply_event(
+    event: &SseEvent,
+    received: &mut Received,
+    last_event_at: &mut Instant,
+) -> io::Result<()> {
     let data = event.data().unwrap_or_default();
     if event.event() == "error" {
         received.problem = Some(serde_json::from_str(data).map_err(io::Error::other)?);
@@ -175,15 +184,15 @@
         .choices
         .first()
         .ok_or_else(|| io::Error::other("received an event without a choice"))?;
-    let since = last.elapsed();
-    *last = Instant::now();
+    let elapsed = last_event_at.elapsed();
+    *last_event_at = Instant::now();
     match choice.finish_reason {
         Some(reason) => {
             received.finish = Some(reason);
             received.tokens = part.usage.map_or(0, |u| u.completion_tokens);
         }
-        None if received.events == 0 => received.first = since,
-        None => received.gap = received.gap.max(since),
+        None if received.events == 0 => received.first = elapsed,
+        None => received.gap = received.gap.max(elapsed),
     }
     received.text.push_str(&choice.text);
     received.events += u32::from(choice.finish_reason.is_none());
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -243,7 +243,7 @@
         self.cleaned_at = now;
         let Some(membership) = &mut self.membership else { return };
         if self.sync.is_first_reader() {
-            let names = membership.stale_registrations(now);
+            let names = membership.take_stale_registrations(now);
             if !names.is_empty() {
                 tokio::task::spawn_local(join::unregister(self.store.clone(), names));
             }
--- a/crates/relay/src/control/feed.rs
+++ b/crates/relay/src/control/feed.rs
@@ -14,12 +14,12 @@
     },
 };
 
-/// Initial backoff; doubles with each failure.
+/// Backoff after the first failure, before jitter; doubles with each further failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 /// Maximum backoff of the watcher that detects the end of a store outage.
 pub const PROBE_BACKOFF_MAX: Duration = Duration::from_millis(800);
-/// Maximum backoff of all other watchers, which are notified of the end. They poll as well, because
-/// the store may reject a single table only.
+/// Maximum backoff of all other watchers, which are notified when the store outage ends. They poll as
+/// well, because the store may reject a single table only.
 pub const STANDBY_BACKOFF_MAX: Duration = Duration::from_millis(3_200);
 
 /// Age from which a pending poll is abandoned if another poll succeeds after an outage. A store
@@ -66,14 +66,15 @@
     pub active: watch::Receiver<bool>,
     /// Revision up to which the table is known, if it is; may be advanced by others.
     pub revision: Rc<Cell<Option<Revision>>>,
-    /// Number of outages whose end any watcher has detected.
+    /// Number of recoveries detected, shared by all watchers. An outage counts once for each watcher
+    /// that detects its end.
     pub recoveries: watch::Sender<u32>,
     /// Metrics.
     pub metrics: Metrics,
 }
 
 impl<S: Store, T: Copy> FeedWatcher<S, T> {
-    /// Sends events until the receiver is dropped.
+    /// Sends events until the receiver or the sender of `active` is dropped.
     pub async fn run(mut self, sender: mpsc::Sender<FeedEvent<T>>) {
         // The sender of `active` exists as long as the control thread.
         while self.active.wait_for(|active| *active).await.is_ok() {
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Polls until the receiver is dropped. The first poll does not wait for changes, so that its
-    /// response shows whether the store is available.
+    /// Polls until the receiver is dropped. The first poll and those after a failure do not wait for
+    /// changes, so that the response shows immediately whether the store is available.
     async fn watch(&self, sender: &mpsc::Sender<FeedEvent<T>>) {
         let mut failures = 0;
         let mut first = true;
@@ -148,8 +149,9 @@
         }
     }
 
-    /// Polls the store; `None` if the poll is old and another watcher has detected the end of an
-    /// outage since, in which the poll may have been lost.
+    /// Polls the store. Returns `None` if the poll has been pending for at least [`STALE_POLL_AGE`]
+    /// and another watcher has detected the end of an outage since the poll started: the request may
+    /// have been lost in the outage.
     async fn poll_unless_stale(&self, wait: Duration) -> Option<Result<Rows>> {
         let mut recoveries = self.recoveries.subscribe();
         let stale = async {
--- a/crates/relay/src/control/members.rs
+++ b/crates/relay/src/control/members.rs
@@ -33,8 +33,9 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// Time after the start in which registered nodes without a heartbeat are ranked as readers.
-const RANK_UNSEEN_PERIOD: Duration = Duration::from_secs(3);
+/// Startup grace period, in which registered nodes are ranked as readers although no heartbeat of
+/// them has arrived yet.
+const STARTUP_GRACE_PERIOD: Duration = Duration::from_secs(3);
 /// Time after which the registration of a dead node is deleted.
 const RETENTION: Duration = Duration::from_secs(600);
 /// Scheme of the URLs for callers in the membership.
@@ -50,15 +51,16 @@
 pub(super) struct Membership {
     members: Members,
     net: PeerNet,
-    me: NodeAddress,
+    local_node: NodeAddress,
     listed: BTreeMap<CompactString, NodeAddress>,
     start: Instant,
     metrics: Metrics,
     draining: bool,
     /// Whether the nodes have changed since they were last read.
     changed: bool,
-    /// Whether registered nodes without a heartbeat are part of the ranking.
-    ranks_unseen: bool,
+    /// Whether the startup grace period was still running at the last call of
+    /// [`Self::changed_nodes`].
+    in_grace_period: bool,
     routes: Routes,
     /// Time at which each dead node was detected as dead.
     dead: BTreeMap<CompactString, Instant>,
@@ -73,7 +75,7 @@
     pub(super) ranking: Ranking,
     /// Number of failure domains.
     pub(super) domains: usize,
-    /// Runners whose load this node knows.
+    /// Runners whose load this node knows, determined by the numbers of ready nodes.
     pub(super) scope: Scope,
 }
 
@@ -83,35 +85,35 @@
     authority: &Authority,
     metrics: Metrics,
 ) -> Result<Joined, PeerError> {
-    let me = NodeAddress {
+    let local_node = NodeAddress {
         name: settings.name.clone(),
         domain: settings.domain.clone(),
         callers: settings.listen.callers,
         peers: settings.listen.peers,
     };
-    let identity = authority.sign(&me.name).map_err(|e| PeerError::Tls(e.to_string()))?;
+    let identity = authority.sign(&local_node.name).map_err(|e| PeerError::Tls(e.to_string()))?;
     let config = PeerConfig {
-        name: me.name.clone(),
-        listen: me.peers,
+        name: local_node.name.clone(),
+        listen: local_node.peers,
         certificate: identity.certificate.into_bytes(),
         key: identity.key.into_bytes(),
         authority: authority.certificate.clone().into_bytes(),
     };
     let (net, events) = PeerNet::start(&config)?;
     let life = NodeIncarnation { epoch: unix_millis(), incarnation: Incarnation(rand::random()) };
-    let own_node = Me { name: me.name.clone(), life, location: location(&me) };
+    let own_node = Me { name: local_node.name.clone(), life, location: location(&local_node) };
     let start = Instant::now();
     let members = Members::new(rand::random(), start, own_node);
     let membership = Membership {
         members,
         net,
-        me,
+        local_node,
         listed: BTreeMap::new(),
         start,
         metrics,
         draining: false,
         changed: true,
-        ranks_unseen: true,
+        in_grace_period: true,
         routes: Routes::new(start),
         dead: BTreeMap::new(),
         scope: Scope::default(),
@@ -154,7 +156,9 @@
         self.changed = true;
     }
 
-    /// Performs due work; returns the runners that were reported as failed.
+    /// Runs the timers of the membership and updates the receivers of messages; returns the runners
+    /// that were reported as failed. `row` is the catalogue, with its revision, to push to nodes that
+    /// have an older one.
     pub(super) fn tick(
         &mut self,
         now: Instant,
@@ -165,14 +169,15 @@
             self.members.set_revision(*revision, &mut out);
         }
         self.members.tick(now, &mut out);
-        let failed = self.carry_out(out, row);
+        let failed = self.apply_outputs(out, row);
         if self.changed || self.routes.are_stale(now) {
             self.update_routes(now);
         }
         failed
     }
 
-    /// Handles a peer event; returns the runners that were reported as failed.
+    /// Handles a peer event; returns the runners that were reported as failed. `row` is the same as
+    /// for [`Self::tick`].
     pub(super) fn receive(
         &mut self,
         now: Instant,
@@ -186,42 +191,43 @@
                 self.members.receive(now, &from, &message, &mut out);
             }
         }
-        self.carry_out(out, row)
+        self.apply_outputs(out, row)
     }
 
     /// Returns the derived state if the nodes have changed since the last call.
     pub(super) fn changed_nodes(&mut self, now: Instant) -> Option<Nodes> {
-        let unseen = now < self.start + RANK_UNSEEN_PERIOD;
-        let expired = std::mem::replace(&mut self.ranks_unseen, unseen) && !unseen;
+        let in_grace_period = now < self.start + STARTUP_GRACE_PERIOD;
+        let expired =
+            std::mem::replace(&mut self.in_grace_period, in_grace_period) && !in_grace_period;
         if !std::mem::take(&mut self.changed) && !expired {
             return None;
         }
         let ranked = |node: &Node| match node.state {
             NodeState::Starting | NodeState::Ready => true,
-            NodeState::Unknown => unseen,
+            NodeState::Unknown => in_grace_period,
             _ => false,
         };
-        let mut domains = BTreeSet::from([self.me.domain.clone()]);
+        let mut domains = BTreeSet::from([self.local_node.domain.clone()]);
         let mut local = Vec::new();
         for node in self.members.nodes().filter(ranked) {
             let Some(location) = node.location else { continue };
-            if location.domain == self.me.domain {
+            if location.domain == self.local_node.domain {
                 local.push(node.name);
             }
             domains.insert(location.domain);
         }
         if !self.draining {
-            local.push(self.me.name.clone());
+            local.push(self.local_node.name.clone());
         }
         let ready = self.ready_nodes();
-        let local_ready = ready.iter().filter(|node| node.domain == self.me.domain).count();
-        self.scope = Scope::new(&self.me.name, ready.len(), local_ready);
+        let local_ready = ready.iter().filter(|node| node.domain == self.local_node.domain).count();
+        self.scope = Scope::new(&self.local_node.name, ready.len(), local_ready);
         let (ranking, domains) = (Ranking::new(local), domains.len());
         Some(Nodes { ready, ranking, domains, scope: self.scope })
     }
 
     fn ready_nodes(&self) -> Vec<NodeAddress> {
-        let known = self.listed.values().chain([&self.me]).map(|node| (node.callers, node));
+        let known = self.listed.values().chain([&self.local_node]).map(|node| (node.callers, node));
         let known: FxHashMap<SocketAddr, &NodeAddress> = known.collect();
         let node = |a: Address| {
             let callers: SocketAddr = a.url.strip_prefix(SCHEME)?.parse().ok()?;
@@ -236,11 +242,12 @@
         self.members.addresses().into_iter().filter_map(node).collect()
     }
 
-    /// Takes the registered nodes of this node's failure domain that have been dead for
-    /// [`RETENTION`].
-    pub(super) fn stale_registrations(&mut self, now: Instant) -> Vec<CompactString> {
+    /// Removes and returns the dead nodes of this node's failure domain whose registrations have
+    /// exceeded [`RETENTION`].
+    pub(super) fn take_stale_registrations(&mut self, now: Instant) -> Vec<CompactString> {
         let is_stale = |(name, since): &(&CompactString, &Instant)| {
-            let local = self.listed.get(*name).is_some_and(|node| node.domain == self.me.domain);
+            let local =
+                self.listed.get(*name).is_some_and(|node| node.domain == self.local_node.domain);
             local && now >= **since + RETENTION
         };
         let stale: Vec<CompactString> =
@@ -251,18 +258,18 @@
 
     /// Returns the name of this node.
     pub(super) fn name(&self) -> &CompactString {
-        &self.me.name
+        &self.local_node.name
     }
 
     /// Sends a leave message and closes all connections.
     pub(super) async fn send_leave(mut self) {
         let mut out = Vec::new();
         self.members.send_leave(&mut out);
-        self.carry_out(out, None);
+        self.apply_outputs(out, None);
         self.net.close().await;
     }
 
-    fn carry_out(
+    fn apply_outputs(
         &mut self,
         out: Vec<Output>,
         row: Option<&(Revision, Bytes)>,
@@ -319,8 +326,8 @@
     }
 }
 
-/// Returns the time in milliseconds since the Unix epoch. It only orders incarnations, and the
-/// membership corrects the effect of a clock that was set back.
+/// Returns the time in milliseconds since the Unix epoch. It only orders the incarnations of a node.
+/// A node whose clock was set back raises its epoch when it sees a newer one under its name.
 fn unix_millis() -> u64 {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     time.unwrap_or_default().as_millis() as u64
--- a/crates/relay/src/control/members/send.rs
+++ b/crates/relay/src/control/members/send.rs
@@ -54,10 +54,13 @@
     pub(super) fn update_routes(&mut self, now: Instant) {
         let peers = self.running_peers();
         let epoch = fanout::epoch(self.start, now);
-        let fanout = Fanout::new(&self.me.name, &self.me.domain, peers.clone(), epoch);
+        let fanout =
+            Fanout::new(&self.local_node.name, &self.local_node.domain, peers.clone(), epoch);
         let groups = match self.scope {
             Scope::System => GroupRelays::default(),
-            Scope::Group { .. } => GroupRelays::new(&self.me.name, &self.me.domain, &peers, epoch),
+            Scope::Group { .. } => {
+                GroupRelays::new(&self.local_node.name, &self.local_node.domain, &peers, epoch)
+            }
         };
         self.routes = Routes { at: now, peers, fanout, groups };
     }
@@ -82,7 +85,7 @@
     pub(in crate::control) fn send_to_readers(&self, message: &PeerMessage) {
         let mut domains = BTreeMap::<&CompactString, Vec<&Target>>::new();
         for Peer { target, domain } in &self.routes.peers {
-            if *domain != self.me.domain {
+            if *domain != self.local_node.domain {
                 domains.entry(domain).or_default().push(target);
             }
         }
@@ -128,7 +131,8 @@
         if !advertised.is_empty() {
             self.send_to_all(&advertised);
         }
-        let is_own = |id: &str| domain(id) == Some(&self.me.domain) && self.scope.includes(id);
+        let is_own =
+            |id: &str| domain(id) == Some(&self.local_node.domain) && self.scope.includes(id);
         let (own, others): (Vec<_>, Vec<_>) =
             runners.into_iter().partition(|load| is_own(&load.runner));
         let own = Load { runners: own, failed, restarts, budgets, ..Load::default() };
@@ -157,7 +161,7 @@
     }
 
     fn send_relayed(&self, relay: &Target, load: Load) {
-        let relayed = RelayedLoad { origin: self.me.name.clone(), load, forward: true };
+        let relayed = RelayedLoad { origin: self.local_node.name.clone(), load, forward: true };
         self.send(std::slice::from_ref(relay), &PeerMessage::RelayedLoad(relayed));
     }
 
--- a/crates/relay/src/control/tables.rs
+++ b/crates/relay/src/control/tables.rs
@@ -24,7 +24,7 @@
             WatchedTable::Replicated(table) => {
                 let mut out = Vec::new();
                 self.sync.on_poll(Instant::now(), table, change, &mut out);
-                self.carry_out(out);
+                self.apply_actions(out);
                 self.step_sync(Instant::now());
             }
         }
@@ -36,7 +36,7 @@
             Ok(rows) => {
                 let mut out = Vec::new();
                 self.sync.on_load(Instant::now(), table, rows, &mut out);
-                self.carry_out(out);
+                self.apply_actions(out);
             }
             Err(error) => {
                 log::warn!("{error}");
@@ -65,17 +65,17 @@
         self.sync.step(now, &mut out);
         self.feeds.set_active(&self.sync);
         self.set_cut_off(self.sync.is_cut_off());
-        self.carry_out(out);
+        self.apply_actions(out);
     }
 
     /// Handles a message from a peer about the replicated tables.
     pub(super) fn sync_with(&mut self, from: &CompactString, message: PeerMessage) {
         let mut out = Vec::new();
         self.sync.on_message(Instant::now(), from, message, &mut out);
-        self.carry_out(out);
+        self.apply_actions(out);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Broadcast(message) => {
--- a/crates/relay/src/network.rs
+++ b/crates/relay/src/network.rs
@@ -17,7 +17,7 @@
 /// Unanswered keep-alive probes before the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Transport that opens connections; tests replace it by an in-memory one.
+/// Transport that opens connections; tests replace it with an in-memory one.
 pub trait Network: Clone + 'static {
     /// Connection type.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
--- a/crates/standins/src/rows.rs
+++ b/crates/standins/src/rows.rs
@@ -1,5 +1,5 @@
-//! In-memory rows with conditional writes, as the platform's table service has them. The stand-in
-//! serves them over HTTP; tests use them in their own fakes.
+//! In-memory rows with conditional writes, with the semantics of the platform's table service. The
+//! stand-in serves them over HTTP; tests use them in their own fakes.
 
 use {
     bilberryfront_wire::table::{
@@ -58,7 +58,8 @@
         self.rows.is_empty()
     }
 
-    /// Returns the results of an atomic commit that is not applied; `None` if no write conflicts.
+    /// Returns the results to report for an atomic commit if any write conflicts: none of the writes
+    /// may then be applied. Returns `None` if no write conflicts.
     fn conflicts(&self, writes: &[Write]) -> Option<Vec<Written>> {
         let conflicts: Vec<_> = writes.iter().map(|write| self.conflict(write)).collect();
         let any = conflicts.iter().any(Option::is_some);
--- a/src/node/serve.rs
+++ b/src/node/serve.rs
@@ -30,13 +30,14 @@
     operators: TcpListener,
 ) -> Result<()> {
     tokio::spawn(flush_always(shared.metrics.clone()));
-    let traffic = traffic(shared);
+    let traffic = build_traffic(shared);
     tokio::spawn(measure_always(shared.metrics.clone(), {
         let traffic = traffic.clone();
         move |metrics| measure(metrics, &traffic)
     }));
     let sweeper = sweep::sweep_all(shared.table(), {
         let control = shared.control.clone();
+        // The view lists the other nodes; add this one.
         move || control.view().nodes.len() as u32 + 1
     });
     tokio::spawn(sweeper);
@@ -49,7 +50,7 @@
     result
 }
 
-fn traffic(shared: &Shared) -> Traffic {
+fn build_traffic(shared: &Shared) -> Traffic {
     let mut builder = Client::builder();
     builder.set_connect_timeout(CONNECT_TIMEOUT);
     let client = builder.build().expect("the client's configuration is constant");
@@ -71,6 +72,7 @@
     let running: u32 = view.usage.iter().map(|(.., count)| count).sum();
     metrics.set(Gauge::Open, traffic.in_flight.load(Ordering::Relaxed) as u64);
     metrics.set(Gauge::Running, running.into());
+    // The view lists the other nodes; add this one.
     metrics.set(Gauge::Nodes, view.nodes.len() as u64 + 1);
     metrics.set(Gauge::Runners, view.runners.len() as u64);
     metrics.set(Gauge::Revision, view.catalog.revision);
@@ -104,10 +106,11 @@
 
 /// Serves until the node has drained.
 ///
-/// The HTTP server handles SIGTERM itself, and aborts what still runs 30 s later. Before that it
-/// waits for its shutdown hook and continues to accept connections, so the hook returns only when
-/// the last stream has ended.
+/// The HTTP server handles SIGTERM itself: it continues to accept connections until its shutdown hook
+/// returns, then stops accepting, and 30 s later aborts the requests that still run. The hook
+/// therefore returns only when the last stream has ended.
 async fn serve(shared: Shared, router: Router, listener: TcpListener) -> Result<()> {
+    // The socket listens already; this fails if it can't be registered with the runtime.
     let listener = tokio::net::TcpListener::from_std(listener).map_err(system_error("listen"))?;
     let leaving = shared.leaving;
     let server = Server::new(router)
--- a/src/traffic/lease.rs
+++ b/src/traffic/lease.rs
@@ -23,17 +23,18 @@
 pub struct Lease {
     /// The grant.
     pub grant: Grant,
-    /// Result so far. Initially `Cancelled`: a drop at that point means that the caller
+    /// Outcome of the attempt. Initially `Cancelled`: if it is still unchanged on drop, the caller
     /// disconnected.
     pub verdict: Verdict,
-    /// Time from the grant to the first token or to the head of the response.
+    /// Time from the grant to the first token or to the response header, if one arrived.
     pub first: Option<Duration>,
     /// Whether another runner will be requested.
     pub will_retry: bool,
-    /// Whether the runner sent a complete response with a server error.
+    /// Whether a service sent a complete response with a server error. The verdict is then `Ok`, as
+    /// the runner works; only the result of a trial counts it as a failure.
     pub failed: bool,
-    /// Time spent waiting for tokens after the first. It excludes back-pressure from a slow caller,
-    /// which must not count against the runner.
+    /// Time spent waiting for tokens after the first; gives the mean time between tokens. It excludes
+    /// back-pressure from a slow caller, which must not count against the runner.
     pub waited: Duration,
     trial: Option<Trial>,
     control: Control,
