--- a/crates/decide/tests/routing/runners.rs
+++ b/crates/decide/tests/routing/runners.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_first_token_of_a_probe_clears_the_suspicion() {
+fn the_first_token_of_a_probe_marks_the_runner_as_healthy() {
     let mut fixture = fixture(2);
     let first = fixture.expect_grant(0);
     fail(&mut fixture, &first);
@@ -83,9 +83,8 @@
     assert_eq!(fixture.expect_grant(0).runner, probe.runner);
 }
 
-// Guards against an unnecessary back-off of half a minute. A runner that dies breaks all its
-// streams at the same time; if each of them doubled the back-off, it would reach its maximum
-// immediately.
+// A runner that dies breaks all its streams at the same time. They must count as one failure: if each
+// of them doubled the back-off, it would reach its maximum of 30 s immediately.
 #[test]
 fn streams_broken_together_are_one_failure() {
     let mut fixture = fixture(2);
@@ -111,11 +110,14 @@
 }
 
 #[test]
-fn missed_load_reports_make_a_suspect_and_a_report_clears_it() {
+fn two_missed_load_reports_eject_a_runner_until_the_next_report() {
     let mut fixture = fixture(2);
     let runner = fixture.runner("r0");
     fixture.step(Event::LoadMissing { runner });
-    assert!(count_sent_to(&mut fixture, "r0", 20) > 0, "one missed report must not make a suspect");
+    assert!(
+        count_sent_to(&mut fixture, "r0", 20) > 0,
+        "one missed report must not eject the runner"
+    );
     fixture.step(Event::LoadMissing { runner });
     fixture.advance(5_000);
     assert_eq!(
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn a_load_report_does_not_clear_a_failed_request() {
+fn a_load_report_after_a_failed_request_does_not_mark_the_runner_as_healthy() {
     let mut fixture = fixture(2);
     let first = fixture.expect_grant(0);
     let name = fixture.name(first.runner);
@@ -158,8 +160,8 @@
 }
 
 // Guards against requests sent to a runner that is shutting down. The list marks the runner as
-// leaving, and then an older list, read from a lagging replica, calls it live. The older list must
-// be ignored.
+// leaving, and then an older list, read from a lagging replica, lists it as live. The older list
+// must be ignored.
 #[test]
 fn a_stale_list_does_not_restore_a_runner() {
     let mut fixture = fixture(2);
@@ -173,7 +175,8 @@
 }
 
 // Guards against requests sent to a draining runner. The runner reports that it is leaving, and a
-// newer list, which doesn't include this yet, still calls it live. The runner's report must apply.
+// newer list, which doesn't include this yet, still lists it as live. The runner's report must
+// apply.
 #[test]
 fn a_runners_own_report_of_leaving_overrides_the_list() {
     let mut fixture = fixture(2);
@@ -183,7 +186,7 @@
     fixture.report_load("r0", load_report(0, 8));
     assert!(
         count_sent_to(&mut fixture, "r0", 20) > 0,
-        "its report that it stays must apply as well"
+        "a later report must clear the leaving state"
     );
 }
 
@@ -211,7 +214,7 @@
 }
 
 #[test]
-fn a_version_without_runners_is_rejected() {
+fn a_request_for_a_version_without_runners_is_rejected() {
     let mut fixture = fixture(1);
     let request = RunnerRequest {
         pin: Some("v9".into()),
--- a/tests/http_flow.rs
+++ b/tests/http_flow.rs
@@ -70,25 +70,28 @@
 const LONG_TOKENS: u32 = 1_000_000;
 /// Longest silence of a runner before the node treats it as stalled.
 const STALL: Duration = Duration::from_millis(300);
-/// Number of clients that do not read.
-const IDLE_CLIENTS: u32 = 8;
+/// Number of clients that read only the response head.
+const NON_READING_CLIENTS: u32 = 8;
 /// Limit on the memory that each of these clients costs the node, in KiB: three buffers of the HTTP
 /// library (one being read, one that was read, one to be written) of at most 408 KiB each, and some
 /// other memory. Without backpressure a response would take some 200,000 KiB.
 const MAX_KIB_PER_CLIENT: u64 = 1_536;
 
-/// Guards against missing backpressure, and against a runner that counts as stalled because of a
-/// slow client. The client reads the response head and then nothing for a while; the node stops
-/// reading from the runner, so the runner stops writing. There must be only one call, and the
-/// client gets the rest when it continues to read.
+/// Without backpressure the node would buffer the whole response for a client that reads the response
+/// head and then nothing for a while. The node must stop reading from the runner, so that the runner
+/// stops writing, and must not treat the runner as stalled meanwhile: there must be only one call,
+/// and the client gets the rest when it continues to read.
 #[tokio::test]
 async fn slow_client_causes_backpressure() {
     let limits = json!({"stall_ms": STALL.as_millis() as u64});
     let fleet = fleet(json!({"limits": limits, "tokens": LONG_TOKENS}), 0).await;
     let mut connection = post_streamed(&fleet, "long").await;
     connection.read_status().await;
-    let held = wait_for_backpressure(&fleet).await;
-    assert!(held < LONG_TOKENS / 4, "{held} tokens were written although the client reads nothing");
+    let written = wait_for_backpressure(&fleet).await;
+    assert!(
+        written < LONG_TOKENS / 4,
+        "{written} tokens were written although the client reads nothing"
+    );
     read_to_end(&mut connection).await;
     let calls = log(&fleet).await.calls;
     let whole =
@@ -96,28 +99,28 @@
     assert!(matches!(&calls[..], [call] if whole(call)), "{calls:?}");
 }
 
-/// Guards against unbounded memory when many clients read only the heads of long responses.
+/// The memory of the node must stay bounded when many clients read only the heads of long responses.
 #[tokio::test]
-async fn idle_clients_use_bounded_memory() {
+async fn non_reading_clients_use_bounded_memory() {
     let fleet = fleet(json!({"tokens": LONG_TOKENS}), 0).await;
     let before = memory_kib(&fleet);
-    let mut idle = Vec::new();
-    for caller in 0..IDLE_CLIENTS {
+    let mut connections = Vec::new();
+    for caller in 0..NON_READING_CLIENTS {
         let mut connection = post_streamed(&fleet, &format!("long {caller}")).await;
         connection.read_status().await;
-        idle.push(connection);
+        connections.push(connection);
     }
     wait_for_backpressure(&fleet).await;
     let grown = memory_kib(&fleet).saturating_sub(before);
     assert!(
-        grown < u64::from(IDLE_CLIENTS) * MAX_KIB_PER_CLIENT,
-        "{grown} KiB for {IDLE_CLIENTS} clients"
+        grown < u64::from(NON_READING_CLIENTS) * MAX_KIB_PER_CLIENT,
+        "{grown} KiB for {NON_READING_CLIENTS} clients"
     );
 }
 
-/// Guards against queue slots of disconnected clients. The entry runs one request at a time; a
-/// second client waits in the queue and disconnects. Its slot must be free for a third one, which
-/// is served when the first request ends, and the runner must never receive the second request.
+/// A client that disconnects must not keep its slot in the queue. The entry runs one request at a
+/// time; a second client waits in the queue and disconnects. Its slot must be free for a third one,
+/// which is served when the first request ends, and the runner must never receive the second request.
 #[tokio::test]
 async fn disconnected_client_leaves_the_queue() {
     let mut collector = Collector::start().await;
@@ -148,8 +151,9 @@
     CompletionRequest { max_tokens: Some(raw_http::TOKENS), ..request(prompt) }
 }
 
-/// Guards against requests and tokens that are counted twice or not at all: requests are served,
-/// rejected by the node, cancelled by the client, cut by a runner and rejected by it.
+/// Every request and token must be counted exactly once, whether the request is served, rejected by
+/// the node (`refused`), rejected by the runner (`unknown`), cancelled by the client or cut by a
+/// runner.
 #[tokio::test]
 async fn requests_and_tokens_are_counted_once() {
     let mut collector = Collector::start().await;
@@ -165,15 +169,15 @@
     assert_eq!((received.tokens, received.resumes), (raw_http::TOKENS, 0));
     let whole = CompletionRequest { stream: false, ..short("whole") };
     assert_eq!(caller.complete(&nodes[0], &whole).await.unwrap().status.as_u16(), 200);
-    let bad = CompletionRequest { max_tokens: Some(0), ..request("bad") };
-    assert_eq!(caller.complete(&nodes[0], &bad).await.unwrap().status.as_u16(), 400);
+    let invalid = CompletionRequest { max_tokens: Some(0), ..request("bad") };
+    assert_eq!(caller.complete(&nodes[0], &invalid).await.unwrap().status.as_u16(), 400);
     let reject = Reject { status: 400, retry: None, path: "/generate".into(), once: true };
     fleet.faults(runner, &Faults { reject: Some(reject), ..Faults::default() }).await.unwrap();
-    let refused = caller.stream(&nodes, &request("refused"), |_| {}).await.unwrap();
-    assert_eq!(refused.problem.unwrap().run, Run::Unknown);
-    let mut left = post_streamed(&fleet, "left").await;
-    left.read_status().await;
-    drop(left);
+    let rejected_by_runner = caller.stream(&nodes, &request("refused"), |_| {}).await.unwrap();
+    assert_eq!(rejected_by_runner.problem.unwrap().run, Run::Unknown);
+    let mut disconnected = post_streamed(&fleet, "left").await;
+    disconnected.read_status().await;
+    drop(disconnected);
     wait_until(async || log(&fleet).await.cancelled == 1).await;
     collector.wait_until(|c| c.get("abandoned") == 1).await;
     let counted = ["requests", "completed", "refused", "unknown", "abandoned", "partial"];
--- a/tests/once_intents.rs
+++ b/tests/once_intents.rs
@@ -1,4 +1,4 @@
-//! Claims and outcomes of non-idempotent calls, with a table that fails.
+//! Claims and outcomes of non-idempotent calls, with a table whose requests fail.
 
 #[path = "fakes/table.rs"]
 mod table;
@@ -86,8 +86,9 @@
     assert!(matches!(claim, Claim::Outcome(o) if o == receipt()));
 }
 
-/// Guards against a second send when the owner of a claim has crashed and never records an outcome.
-/// The retry ends as busy after its wait.
+/// A call must not be sent a second time when the owner of its claim has crashed and never records an
+/// outcome: the retry ends as busy after its wait. The crash is simulated by a permit that is neither
+/// settled nor dropped during the test.
 #[tokio::test(start_paused = true)]
 async fn a_crashed_owner_leaves_the_call_busy() {
     let table = FakeTable::new(LATENCY);
@@ -97,7 +98,7 @@
     assert!(matches!(b.wait(&call("k"), WAIT).await, Claim::Busy(_)));
 }
 
-/// Guards against a retry that waits although the owner of the claim crashed long ago.
+/// A retry must not wait for the outcome of a claim whose owner crashed long ago.
 #[tokio::test(start_paused = true)]
 async fn a_retry_does_not_wait_for_an_owner_that_crashed_long_ago() {
     let table = FakeTable::new(LATENCY);
@@ -111,8 +112,7 @@
     assert!(start.elapsed() < Duration::from_millis(100), "one jittered pause and one read");
 }
 
-/// Guards against more than one send when a hundred requests with one key are concurrent at one
-/// node.
+/// A hundred concurrent requests with one key at one node must result in one send.
 #[tokio::test(start_paused = true)]
 async fn concurrent_requests_get_one_permit() {
     let table = FakeTable::new(LATENCY);
@@ -199,9 +199,8 @@
     assert!(matches!(a.claim(other).await, Claim::Mismatch));
 }
 
-/// Guards against calls that each wait for a table that hangs. The first call fails after the
-/// commit timeout; all others get "not run" at once until a probe finds that the table responds
-/// again.
+/// Only the first call may wait for a table that hangs. It fails after the commit timeout; all others
+/// get "not run" at once until a probe finds that the table responds again.
 #[tokio::test(start_paused = true)]
 async fn calls_are_rejected_at_once_while_the_table_hangs() {
     let table = FakeTable::new(LATENCY);
@@ -217,8 +216,10 @@
     granted(a.claim(call("fourth")).await);
 }
 
-/// Guards against a sequence of timeouts for calls that wait behind two hanging commits: they must
-/// all get "not run" when the first commit times out.
+/// Queued calls must not wait for one timeout after another while the table hangs. Two commits of one
+/// row each are in flight, which is the limit, and 48 of the 50 calls are queued: they must all get
+/// "not run" when the first commit times out. Each of the two sent calls then reads its row back,
+/// which times out as well.
 #[tokio::test(start_paused = true)]
 async fn calls_behind_a_hanging_commit_are_rejected_together() {
     let table = FakeTable::new(LATENCY);
@@ -228,16 +229,18 @@
     let start = Instant::now();
     let keys: Vec<String> = (0..50).map(|n| n.to_string()).collect();
     let claims = join_all(keys.iter().map(|k| a.claim(call(k)))).await;
-    let down = claims.iter().filter(|c| matches!(c, Claim::NotRun(PlatformError::Down(_)))).count();
-    assert_eq!(down, 48);
+    let rejected =
+        claims.iter().filter(|c| matches!(c, Claim::NotRun(PlatformError::Down(_)))).count();
+    assert_eq!(rejected, 48);
+    // The second commit starts one interval after the first.
     assert!(
         start.elapsed() <= limits.reply_timeout * 2 + limits.interval,
-        "one commit and one read"
+        "the timeouts of one commit and one read"
     );
 }
 
-/// Guards against a wrong "not run" for a retry of a call that this node has sent, while the table
-/// is down.
+/// While the table is down, a retry of a call that this node has sent must be busy. "Not run" would
+/// be wrong, and the caller could execute the call a second time.
 #[tokio::test(start_paused = true)]
 async fn a_retry_of_a_sent_call_in_an_outage_is_busy() {
     let table = FakeTable::new(LATENCY);
@@ -252,7 +255,7 @@
     assert!(matches!(a.claim(call("new")).await, Claim::NotRun(_)));
 }
 
-/// Guards against an unbounded queue: calls beyond its limit get "not run" at once.
+/// The queue of calls must be bounded: calls beyond its limit get "not run" at once.
 #[tokio::test(start_paused = true)]
 async fn calls_beyond_the_queue_limit_are_rejected_at_once() {
     let table = FakeTable::new(LATENCY);
@@ -260,31 +263,32 @@
     let a = Intents::start(table.clone(), Incarnation(1), limits);
     let keys: Vec<String> = (0..30).map(|n| n.to_string()).collect();
     let claims = join_all(keys.iter().map(|k| a.claim(call(k)))).await;
-    let down = claims.iter().filter(|c| matches!(c, Claim::NotRun(_))).count();
-    assert_eq!((down, a.stats().refused), (20, 20));
+    let rejected = claims.iter().filter(|c| matches!(c, Claim::NotRun(_))).count();
+    assert_eq!((rejected, a.stats().refused), (20, 20));
 }
 
-/// Guards against a stale write after the process was suspended while a claim waited for its
-/// commit. The row may belong to another call of the same key and revision by then, so the write
-/// must not be sent.
+/// A write that became stale while the process was suspended must not be sent. The process is
+/// suspended for an hour while a claim waits for its commit. By then the expected row may have been
+/// swept, and another claim may have created a row with the same key and revision.
 #[tokio::test(start_paused = true)]
 async fn a_write_delayed_by_a_suspension_is_rejected() {
     let table = FakeTable::new(LATENCY);
     let a = node(&table, 1);
     granted(a.claim(call("first")).await);
-    let suspended = a.clone();
-    let claim = tokio::spawn(async move { suspended.claim(call("second")).await });
+    let node = a.clone();
+    let claim = tokio::spawn(async move { node.claim(call("second")).await });
     for _ in 0..10 {
         tokio::task::yield_now().await;
     }
+    // Simulates the suspension.
     tokio::time::advance(Duration::from_secs(3600)).await;
     let claim = claim.await.expect("the claim task must not panic");
     assert!(matches!(claim, Claim::NotRun(PlatformError::Down(_))));
     assert!(table.state().rows.get(&call("second").row()).is_none());
 }
 
-/// Guards against calls that wait although they would time out: those beyond what the node can
-/// write within their timeout get "not run" at once.
+/// A call that would time out in the queue must not wait: calls beyond what the node can write within
+/// their timeout get "not run" at once.
 #[tokio::test(start_paused = true)]
 async fn a_call_that_would_time_out_is_rejected_at_once() {
     let table = FakeTable::new(LATENCY);
@@ -304,8 +308,8 @@
     assert_eq!(refused, [Duration::ZERO; 20]);
 }
 
-/// Guards against a lost outcome, and a delayed response, when the table fails for ten seconds just
-/// after the runner has responded. The outcome is recorded after the outage.
+/// When the table fails for ten seconds just after the runner has responded, the response must not be
+/// delayed beyond the reply timeout, and the outcome must be recorded after the outage.
 #[tokio::test(start_paused = true)]
 async fn an_outcome_is_recorded_after_a_short_outage() {
     let table = FakeTable::new(LATENCY);
@@ -318,12 +322,12 @@
     assert!(start.elapsed() <= Limits::default().reply_timeout);
     tokio::time::sleep(Duration::from_secs(10)).await;
     table.state().default_fault = None;
-    // Two attempts are at most three seconds apart.
+    // The retry interval is at most 3 s.
     assert!(matches!(b.wait(&call("k"), WAIT * 3).await, Claim::Outcome(o) if o == receipt()));
 }
 
-/// Guards against endless attempts to record an outcome during a long outage. The node stops and
-/// counts the outcome; no retry executes the call again.
+/// Attempts to record an outcome must end during a long outage of the table. The node stops retrying
+/// the write and counts the outcome as unrecorded; no retry executes the call again.
 #[tokio::test(start_paused = true)]
 async fn an_outcome_that_cannot_be_recorded_is_counted() {
     let table = FakeTable::new(LATENCY);
@@ -338,7 +342,7 @@
     assert!(matches!(b.wait(&call("k"), WAIT).await, Claim::Busy(_)));
 }
 
-/// Guards against one commit per write: writes that arrive during a commit share the next one.
+/// Writes that arrive during a commit must share the next one instead of needing one commit each.
 #[tokio::test(start_paused = true)]
 async fn waiting_writes_share_a_commit() {
     let table = FakeTable::new(LATENCY);
@@ -350,7 +354,7 @@
     assert!(sizes.iter().all(|n| *n <= Limits::default().rows));
 }
 
-/// Guards against a row that is deleted before the end of its retention, or not after it.
+/// A row must be deleted only after the end of its retention, and only by the sweep of its shard.
 #[tokio::test(start_paused = true)]
 async fn old_rows_are_swept() {
     let table = FakeTable::new(LATENCY);
@@ -366,8 +370,8 @@
     assert!(table.state().rows.is_empty());
 }
 
-/// Guards against the deletion of a new claim: a call recorded as not run is claimed again after
-/// the sweep has read its old row. Without the claim, a retry would be executed as well.
+/// The sweep must not delete a new claim. A call recorded as not run is claimed again after the sweep
+/// has read its old row; without the claim, a retry would be executed as well.
 #[tokio::test(start_paused = true)]
 async fn a_row_that_was_claimed_again_is_not_swept() {
     let table = FakeTable::new(LATENCY);
@@ -386,8 +390,10 @@
     assert_eq!(kept, Some(Row { key: row, revision: 3, value: "anew".into() }));
 }
 
+/// Row keys must have one length. Row keys and digests must differ if their parts differ, even if the
+/// concatenated parts are equal.
 #[test]
-fn row_keys_have_one_length_and_no_ambiguity() {
+fn row_keys_and_digests_are_unambiguous() {
     let long = "x".repeat(255);
     assert_eq!(call(&long).row().len(), call("k").row().len());
     let slash = Call { account: "a/b".into(), entry: "c".into(), ..call("k") };
@@ -396,8 +402,10 @@
     assert_ne!(digest("POST", "/ab", b"c"), digest("POST", "/a", b"bc"));
 }
 
+/// Bodies up to the size limit are stored and restored, larger ones are dropped. Stored text that is
+/// not valid hexadecimal gives no body, and cookies are not stored.
 #[test]
-fn any_body_up_to_the_bound_is_kept() {
+fn bodies_are_kept_up_to_the_limit_and_cookies_dropped() {
     let kept = |body: &[u8]| answer::keep(200, &HeaderMap::new(), body).body;
     for body in [&b""[..], b"text", &[0xff, 0x00, 0x7f]] {
         assert_eq!(answer::body(&kept(body)).as_deref(), Some(body));
--- a/tests/relay_process.rs
+++ b/tests/relay_process.rs
@@ -1,8 +1,8 @@
-//! The program as a process, with stand-ins for the store, the runners and the callers over
-//! loopback.
+//! End-to-end tests of the relay program, which runs as a process, with stand-ins for the store, the
+//! runners and the callers over loopback.
 
 #[path = "relay/support.rs"]
-#[allow(dead_code, reason = "shared with the tests in memory")]
+#[allow(dead_code, reason = "shared with the in-memory tests")]
 mod support;
 
 use {
@@ -38,7 +38,7 @@
     },
 };
 
-/// Longest wait for conditions that take some hundred milliseconds on an idle machine.
+/// Longest wait for conditions that take a few hundred milliseconds on an idle machine.
 const TIMEOUT: Duration = Duration::from_secs(20);
 /// Grace period in the instances' settings.
 const GRACE: Duration = Duration::from_secs(4);
@@ -144,9 +144,9 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let runner = Rc::new(Runner::new(id, address, service, domain, script));
-        let entry = json!({"service": service, "address": address, "zone": domain, "version": "v1",
+        let registration = json!({"service": service, "address": address, "zone": domain, "version": "v1",
             "slots": 8, "state": "ready", "seq": 1, "born": 1});
-        self.put("servers", id, &entry);
+        self.put("servers", id, &registration);
         self.runners.push(runner.clone());
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -361,8 +361,8 @@
     const LIMIT: Duration = Duration::from_secs(1);
     run_local(async {
         let platform = Platform::new().await;
-        for read in [false, true] {
-            let (path, listen) = platform.settings(if read { "n2" } else { "n1" });
+        for is_log_read in [false, true] {
+            let (path, listen) = platform.settings(if is_log_read { "n2" } else { "n1" });
             let mut child = Command::new(env!("CARGO_BIN_EXE_bilberryfront"))
                 .arg("relay")
                 .arg("--settings")
@@ -371,7 +371,7 @@
                 .spawn()
                 .unwrap();
             let stdout = child.stdout.take().unwrap();
-            let (lines, unread) = match read {
+            let (line_count, unread_stdout) = match is_log_read {
                 true => (Some(thread::spawn(|| BufReader::new(stdout).lines().count())), None),
                 false => (None, Some(stdout)),
             };
@@ -385,26 +385,33 @@
             let seconds = start.elapsed().as_secs() as usize + 1;
             assert!(slowest < LIMIT, "slowest response after {slowest:?}");
             child.kill();
-            if let Some(lines) = lines {
-                let lines = lines.join().unwrap();
+            if let Some(line_count) = line_count {
+                let lines = line_count.join().unwrap();
+                // The log limits: 100 lines per second for normal operation and 200 for failures. The
+                // rest allows for the lines that report dropped lines and for the startup.
                 assert!(lines < 200 + seconds * 310, "{lines} lines in {seconds} s");
             }
-            drop(unread);
+            drop(unread_stdout);
         }
     })
     .await;
 }
 
-/// Guards against failures whose cause is not in the log. A stream pauses because the holder of its
-/// KV copy has none when its engine crashes; a call that must not be retried loses its response; an
-/// instance that started while the store rejects its requests rejects a call. `explain` must report
-/// each cause from the instance's log and the request id.
+/// `explain` must report the cause of a failure from the instance's log and the request id; the test
+/// fails if the log lacks the cause. Three kinds of failure: a stream pauses because its engine
+/// crashes and the engine that should hold a replica of its KV cache has none; a call that must not
+/// be retried loses its response; an instance that started while the store rejects all requests
+/// rejects a call.
 #[tokio::test]
-async fn explain_reports_the_cause_of_each_kind_of_failure() {
+async fn explain_reports_the_cause_of_three_kinds_of_failure() {
     run_local(async {
         let platform = Platform::new().await;
-        let [paused, lost] = [platform.start_logged("n1"), platform.start_logged("n2")];
-        wait_until("both are ready", async || paused.ready().await && lost.ready().await).await;
+        let [with_paused_stream, with_lost_response] =
+            [platform.start_logged("n1"), platform.start_logged("n2")];
+        wait_until("both are ready", async || {
+            with_paused_stream.ready().await && with_lost_response.ready().await
+        })
+        .await;
 
         for engine in &platform.runners[..2] {
             *engine.script.borrow_mut() =
@@ -419,31 +426,32 @@
             sleep(ms(300)).await;
             let (ran, rest): (Vec<_>, Vec<_>) =
                 platform.runners[..2].iter().partition(|r| r.request_count() > 0);
-            // As long as the prefill of a prompt, and shorter than the silence after which the
-            // runner would be left.
+            // As long as the prefill of a prompt, and shorter than the stall timeout after which the
+            // relay abandons the runner.
             *rest[0].script.borrow_mut() =
                 Script::Events { last: 12, gap: ms(380), end: StreamEnd::Complete };
             ran[0].crash();
         };
-        let (streamed, ()) = tokio::join!(paused.post("/stream/1", "k1"), crash);
+        let (streamed, ()) = tokio::join!(with_paused_stream.post("/stream/1", "k1"), crash);
         assert_eq!(ids(&streamed.unwrap().text), (1..=12).collect::<Vec<u64>>());
 
         *platform.runners[2].script.borrow_mut() = Script::Close;
-        assert_eq!(lost.post("/lodge/1", "k1").await.unwrap().status, 502);
+        assert_eq!(with_lost_response.post("/lodge/1", "k1").await.unwrap().status, 502);
 
         platform.reject_store_requests(true);
-        let refused = platform.start_logged("n3");
+        let without_catalog = platform.start_logged("n3");
         wait_until("the instance responds", async || {
-            get(refused.health, "/api/readyz").await.is_some()
+            get(without_catalog.health, "/api/readyz").await.is_some()
         })
         .await;
         sleep(ms(500)).await;
-        assert_eq!(refused.post("/lodge/2", "k1").await.unwrap().status, 503);
+        assert_eq!(without_catalog.post("/lodge/2", "k1").await.unwrap().status, 503);
 
         for (instance, cause) in [
-            (&paused, "the holder had no replica, so the prompt was prefilled again"),
-            (&lost, "p1 had the request, and its connection failed"),
-            (&refused, "the instance had no catalogue, since the store did not respond"),
+            (&with_paused_stream, "the holder had no replica, so the prompt was prefilled again"),
+            (&with_lost_response, "p1 had the request, and its connection failed"),
+            // The store answered with status 503; `explain` reports this in the same words.
+            (&without_catalog, "the instance had no catalogue, since the store did not respond"),
         ] {
             let what = format!("the log of {} explains: {cause}", instance.log.display());
             wait_until(&what, async || explain(&instance.log).contains(cause)).await;
@@ -457,7 +465,7 @@
     callers: SocketAddr,
     health: SocketAddr,
     log: PathBuf,
-    /// Terminates the process on drop.
+    /// Kills the process on drop.
     _child: ChildGuard,
 }
 
@@ -541,9 +549,10 @@
     text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
 }
 
-/// Guards against invalid settings that `check` or `relay` accepts or reports without their line.
+/// `check` and `relay` must reject invalid settings with exit status 1, report every invalid value, and
+/// name the line of the empty `domain`.
 #[test]
-fn invalid_settings_are_reported_with_their_line() {
+fn invalid_settings_are_reported() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("bad.jsonc");
     let text = r#"{
--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -31,7 +31,7 @@
     fleet
 }
 
-/// Returns a streamed request.
+/// Returns a completion request whose response is streamed.
 pub(crate) fn request() -> CompletionRequest {
     CompletionRequest {
         model: ENGINE.into(),
--- a/tests/support/raw_http.rs
+++ b/tests/support/raw_http.rs
@@ -38,7 +38,7 @@
     fleet
 }
 
-/// Starts the runner and the node of a deployment in which only the platform runs.
+/// Starts the runner and the node of a deployment whose platform services already run.
 pub(crate) async fn start(fleet: &mut Fleet, changes: &Value, pace_ms: u32) {
     let tokens = changes["tokens"].as_u64().unwrap_or(TOKENS.into()).to_string();
     let pace = pace_ms.to_string();
@@ -74,7 +74,7 @@
     })
 }
 
-/// Returns a streamed request.
+/// Returns a completion request whose response is streamed.
 pub(crate) fn request(prompt: &str) -> CompletionRequest {
     CompletionRequest {
         model: ENGINE.into(),
@@ -85,8 +85,8 @@
     }
 }
 
-/// Polls until the condition is met, for at most 20 s. Only for conditions that follow from events
-/// already in progress.
+/// Polls until the condition is met, for at most 20 s. Only for conditions that are met without any
+/// further action of the test.
 pub(crate) async fn wait_until(mut is_met: impl AsyncFnMut() -> bool) {
     for _ in 0..1_000 {
         if is_met().await {
@@ -104,22 +104,22 @@
     pub(crate) received: Vec<u8>,
 }
 
-/// Sends a completion request with these header lines and this body. `head` ends with the blank
-/// line.
-pub(crate) async fn send_raw(fleet: &Fleet, head: &str, body: &[u8]) -> RawConnection {
+/// Sends a completion request with additional header lines and a body. `headers` follows the request
+/// line and the `host` and `authorization` headers, and ends with the blank line.
+pub(crate) async fn send_raw(fleet: &Fleet, headers: &str, body: &[u8]) -> RawConnection {
     let address = fleet.nodes[0].server.url.strip_prefix("http://").unwrap();
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).unwrap();
     let mut stream = socket.connect(address.parse().unwrap()).await.unwrap();
-    let start = format!(
+    let request_start = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: node\r\nauthorization: Bearer {CALLER_KEY}\r\n"
     );
     // The node may reject the request and close the connection before it has read everything.
-    _ = stream.write_all(&[start.as_bytes(), head.as_bytes(), body].concat()).await;
+    _ = stream.write_all(&[request_start.as_bytes(), headers.as_bytes(), body].concat()).await;
     RawConnection { stream, received: Vec::new() }
 }
 
-/// Sends a streamed completion request.
+/// Sends a completion request whose response is streamed.
 pub(crate) async fn post_streamed(fleet: &Fleet, prompt: &str) -> RawConnection {
     let body = serde_json::to_vec(&request(prompt)).unwrap();
     send_raw(fleet, &format!("content-length: {}\r\n\r\n", body.len()), &body).await
