--- a/tests/catalogue_faults.rs
+++ b/tests/catalogue_faults.rs
@@ -23,7 +23,7 @@
     faults: Vec<Kind>,
     /// Whether it is based on the newest revision, otherwise on the one before.
     is_current: bool,
-    /// Whether the operator sends it resend, whatever the first outcome was.
+    /// Whether the operator sends it again, whatever the first outcome was.
     resend: bool,
 }
 
--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -193,7 +193,7 @@
     }
 }
 
-/// Splits bytes into frames of at max_bytes this size.
+/// Splits bytes into frames of at most `max_bytes` bytes.
 fn frames(bytes: &[u8], max_bytes: usize) -> Vec<Bytes> {
     bytes.chunks(max_bytes).map(Bytes::copy_from_slice).collect()
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -48,7 +48,7 @@
 }
 
 /// Guards against a stream that is cut when its node drains. The node is terminated at the start of
-/// a stream that takes longer than the shutdown time-out of the HTTP library. Meanwhile the node is
+/// a stream that takes longer than the shutdown timeout of the HTTP library. Meanwhile the node is
 /// removed from the address lists and then rejects new requests with `not_run`; after the last
 /// token it exits with 0.
 #[tokio::test]
--- a/tests/move_adopted.rs
+++ b/tests/move_adopted.rs
@@ -1,5 +1,5 @@
-//! The complete move to a working version, through the command line and processes. It has a test
-//! binary of its own because tests in the same process would disturb the latencies of the versions.
+//! The complete move to a working version, through the command line and processes. It is the only
+//! test of its binary because concurrent tests would disturb the latencies of the versions.
 
 #[expect(dead_code, reason = "the fleet creates its own folder")]
 #[path = "support/folder.rs"]
@@ -13,7 +13,7 @@
 use moving::{Load, fleet, start, state, version, wait_for_report};
 
 /// Deadline of about twice the time that the steps need, so that a suspicion can pass.
-const LONG: &str = "4m";
+const DEADLINE: &str = "4m";
 /// Weights with which spare time is kept instead of being spent on the steps.
 const KEEP_SPARE_TIME: [&str; 6] = ["--on-time", "0", "--take-back", "0", "--extra-use", "1"];
 
@@ -25,7 +25,7 @@
     let fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
-    let outcome = start(&fleet, 0, &[&["--by", LONG, "--wait"], &KEEP_SPARE_TIME[..]].concat());
+    let outcome = start(&fleet, 0, &[&["--by", DEADLINE, "--wait"], &KEEP_SPARE_TIME[..]].concat());
     assert_eq!(outcome.code, Some(0), "{}{}", outcome.stdout, outcome.stderr);
     assert!(outcome.stdout.contains("settled, share 100 %"), "{}", outcome.stdout);
     for node in 0..2 {
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -25,7 +25,7 @@
 };
 
 /// Deadline that is long enough for every step of a move.
-const LONG: &str = "1h";
+const LONG_DEADLINE: &str = "1h";
 
 /// Returns faults with which a server rejects every request.
 fn reject_all(status: u16) -> Faults {
@@ -52,7 +52,7 @@
     }
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
-    let outcome = start(&fleet, 1, &["--by", LONG, "--wait"]);
+    let outcome = start(&fleet, 1, &["--by", LONG_DEADLINE, "--wait"]);
     assert_eq!(outcome.code, Some(1), "{}{}", outcome.stdout, outcome.stderr);
     for node in 0..2 {
         let report = wait_for_report(&fleet, node, |r| state(r) == "taken_back").await;
@@ -71,7 +71,7 @@
     let fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
-    let outcome = start(&fleet, 0, &["--by", LONG]);
+    let outcome = start(&fleet, 0, &["--by", LONG_DEADLINE]);
     assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
     wait_for_report(&fleet, 1, |r| r["here"].as_u64().is_some_and(|share| share > 0)).await;
     while requests_to_new_version(&fleet).await == 0 {
@@ -127,10 +127,10 @@
     let fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
-    assert_eq!(start(&fleet, 0, &["--by", LONG]).code, Some(0));
+    assert_eq!(start(&fleet, 0, &["--by", LONG_DEADLINE]).code, Some(0));
     let first = status(&fleet, 0)["id"].as_str().unwrap().to_owned();
     wait_for_report(&fleet, 1, |r| r["id"] == *first).await;
-    let second = start(&fleet, 1, &["--by", LONG]);
+    let second = start(&fleet, 1, &["--by", LONG_DEADLINE]);
     assert_eq!(second.code, Some(3));
     assert!(second.stderr.contains(&first), "{}", second.stderr);
     let listed = run_for_json(&fleet, 1, &["move", "list"]);
@@ -224,7 +224,7 @@
     let fleet = fleet().await;
     let mut load = Load::start(&fleet);
     load.wait_for_responses(50).await;
-    assert_eq!(start(&fleet, 0, &["--by", LONG]).code, Some(0));
+    assert_eq!(start(&fleet, 0, &["--by", LONG_DEADLINE]).code, Some(0));
     wait_for_report(&fleet, 1, |r| state(r) == "moving").await;
     fleet.faults(&fleet.table, &reject_all(503)).await.unwrap();
     assert_eq!(run_command(&fleet, 0, &["move", "undo", ENTRY]).code, Some(0));
--- a/tests/relay/support.rs
+++ b/tests/relay/support.rs
@@ -220,7 +220,7 @@
         async move { respond(&runner, request).await }
     });
     let task = tokio::task::spawn_local(async move {
-        // StreamEnd with the caller or with the runner.
+        // Ends when the caller or the runner closes the connection.
         _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     });
     serving.connections.borrow_mut().push(task.abort_handle());
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -135,8 +135,8 @@
 }
 
 /// Guards against a caller that waits when the only runner of the version was killed: it gets the
-/// text so far and is told at once when to resume. Once a runner is available, the resume completes
-/// the response.
+/// text so far and at once a problem document that states when to resume. Once a runner is
+/// available, the resume completes the response.
 #[tokio::test]
 async fn no_runner_is_left() {
     let mut fleet = fleet(&["runner-a"], &["node-a"]).await;
--- a/tests/support/invalid_files.rs
+++ b/tests/support/invalid_files.rs
@@ -5,8 +5,8 @@
     std::{fs, path::Path},
 };
 
-/// Checks that `check` reports each invalid file of a kind as the `line`, `message` and `help`
-/// comments at its head state; returns the number of files.
+/// Checks that `check` reports for each invalid file of a kind what the `line`, `message` and
+/// `help` comments in that file state; returns the number of files.
 pub(crate) fn check_invalid_files(folder: &Path, kind: &str) -> usize {
     let files = data(kind);
     let invalid = files.iter().filter(|(name, _)| name != "good.jsonc");
