--- a/src/catalogue.rs
+++ b/src/catalogue.rs
@@ -22,6 +22,6 @@
         .into_iter()
         .map(|f| doc.fault(&f.path, f.kind.to_string(), &f.kind.help()))
         .collect();
-    doc.verdict(faults)?;
+    doc.ensure_no_faults(faults)?;
     Ok(catalog)
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -61,7 +61,7 @@
     /// Returns a handle, and the receiver for [`drive`].
     pub fn new(published: Published) -> (Control, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        let (metrics, moves) = (Metrics::silent(), Moves::default());
+        let (metrics, moves) = (Metrics::in_memory(), Moves::default());
         (Control { sender, published, tickets: Arc::default(), metrics, moves }, receiver)
     }
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -142,7 +142,7 @@
 
 impl Metrics {
     /// Counts in memory only.
-    pub fn silent() -> Metrics {
+    pub fn in_memory() -> Metrics {
         Metrics::with(None)
     }
 
@@ -150,7 +150,7 @@
     pub fn start(settings: Option<&settings::Metrics>) -> io::Result<Metrics> {
         match settings {
             Some(settings) => Ok(Metrics::with(Some(client(settings.statsd)?))),
-            None => Ok(Metrics::silent()),
+            None => Ok(Metrics::in_memory()),
         }
     }
 
@@ -198,7 +198,7 @@
 }
 
 /// Sets gauges for ever, once for each flush.
-pub async fn measure_always(metrics: Metrics, measure: impl Fn(&Metrics)) {
+pub async fn measure_periodically(metrics: Metrics, measure: impl Fn(&Metrics)) {
     let mut ticks = tokio::time::interval(FLUSH_EVERY);
     loop {
         ticks.tick().await;
@@ -207,7 +207,7 @@
 }
 
 /// Flushes for ever.
-pub async fn flush_always(metrics: Metrics) {
+pub async fn flush_periodically(metrics: Metrics) {
     let mut ticks = tokio::time::interval(FLUSH_EVERY);
     loop {
         ticks.tick().await;
--- a/src/node/control_thread.rs
+++ b/src/node/control_thread.rs
@@ -6,7 +6,7 @@
         catalogue::store::Store,
         control::{self, Message, membership::Membership, moves, pollers},
         error::{Error, Result},
-        metrics::{Gauge, Metrics, measure_always},
+        metrics::{Gauge, Metrics, measure_periodically},
         peer::{PeerConfig, PeerError, PeerNet, Received},
         platform::http::Service,
         settings::Settings,
@@ -86,7 +86,7 @@
     tokio::spawn(pollers::poll_instances(control.clone(), list_sender, instances));
     tokio::spawn(pollers::poll_catalog(control.clone(), Store::new(shared.table())));
     tokio::spawn(pollers::poll_loads(control.clone()));
-    tokio::spawn(measure_always(shared.metrics.clone(), {
+    tokio::spawn(measure_periodically(shared.metrics.clone(), {
         let net = net.clone();
         move |metrics| measure(metrics, &net)
     }));
--- a/src/node/serve.rs
+++ b/src/node/serve.rs
@@ -6,7 +6,7 @@
         catalogue::store::Store,
         error::Result,
         intents::{Intents, Limits, sweep},
-        metrics::{Gauge, Metrics, flush_always, measure_always},
+        metrics::{Gauge, Metrics, flush_periodically, measure_periodically},
         operator::{self, OperatorApi, control::NodeHandle, key::Keys, moves::MovesApi},
         traffic::{self, Traffic, send::Sender, services::Services, upstream::HttpEngines},
     },
@@ -29,9 +29,9 @@
     callers: TcpListener,
     operators: TcpListener,
 ) -> Result<()> {
-    tokio::spawn(flush_always(shared.metrics.clone()));
+    tokio::spawn(flush_periodically(shared.metrics.clone()));
     let traffic = traffic(shared);
-    tokio::spawn(measure_always(shared.metrics.clone(), {
+    tokio::spawn(measure_periodically(shared.metrics.clone(), {
         let traffic = traffic.clone();
         move |metrics| measure(metrics, &traffic)
     }));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -22,7 +22,7 @@
     let mut settings = doc.parse::<Settings>()?;
     let folder = path.parent().unwrap_or(Path::new(""));
     settings.tls.resolve(folder);
-    doc.verdict(check::faults(&doc, &settings))?;
+    doc.ensure_no_faults(check::find_faults(&doc, &settings))?;
     Ok(settings)
 }
 
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -17,7 +17,7 @@
 const LEVELS: [&str; 4] = ["error", "warn", "info", "debug"];
 
 /// Finds every fault of `settings`, which were read from `doc`.
-pub fn faults(doc: &Document, settings: &Settings) -> Vec<Located> {
+pub fn find_faults(doc: &Document, settings: &Settings) -> Vec<Located> {
     let mut faults = Vec::new();
     names(doc, settings, &mut faults);
     listeners(doc, settings, &mut faults);
--- a/src/settings/locate.rs
+++ b/src/settings/locate.rs
@@ -89,7 +89,7 @@
     }
 
     /// `Ok` when there are no faults; else an error that tells them in the order of the text.
-    pub fn verdict(&self, mut faults: Vec<Located>) -> Result<()> {
+    pub fn ensure_no_faults(&self, mut faults: Vec<Located>) -> Result<()> {
         faults.sort_by_key(|f| f.span.offset());
         match faults.is_empty() {
             true => Ok(()),
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -12,7 +12,7 @@
 pub fn load(path: &Path) -> Result<Settings> {
     let doc = Document::read(path)?;
     let settings = doc.parse::<Settings>()?;
-    doc.verdict(faults(&doc, &settings))?;
+    doc.ensure_no_faults(faults(&doc, &settings))?;
     Ok(settings)
 }
 
--- a/tests/decoders.rs
+++ b/tests/decoders.rs
@@ -167,7 +167,7 @@
     feed(&[good], |bytes| {
         let document = document(bytes);
         if let Ok(settings) = document.parse::<Settings>() {
-            _ = settings::check::faults(&document, &settings);
+            _ = settings::check::find_faults(&document, &settings);
         }
     });
 }
--- a/tests/settings_metrics.rs
+++ b/tests/settings_metrics.rs
@@ -2,7 +2,7 @@
 
 use {
     bilberryfront::{
-        metrics::{Counter, Gauge, Metrics, Timing, flush_always},
+        metrics::{Counter, Gauge, Metrics, Timing, flush_periodically},
         settings,
     },
     std::{
@@ -58,7 +58,7 @@
 #[tokio::test(start_paused = true)]
 async fn counts_are_flushed_every_second() {
     let (socket, metrics) = collector();
-    tokio::spawn(flush_always(metrics.clone()));
+    tokio::spawn(flush_periodically(metrics.clone()));
     sleep(Duration::from_millis(500)).await;
     metrics.add(Counter::Requests, 1);
     assert_eq!(metrics.pending(Counter::Requests), 1);
