--- a/src/error.rs
+++ b/src/error.rs
@@ -1,7 +1,7 @@
-//! What can go wrong at the command line, each with advice and an exit code.
+//! Errors of the command line, with help texts and exit codes.
 
 use {
-    crate::settings::locate::Invalid,
+    crate::settings::locate::InvalidDocument,
     bilberryfront_relay::node::NodeError,
     miette::Diagnostic,
     std::{io, net::SocketAddr, path::PathBuf, process::ExitCode},
@@ -20,99 +20,103 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's answer.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A key file doesn't hold a key.
-    #[error("{} holds no key", path.display())]
-    #[diagnostic(help("write the key in one line of visible ASCII signs"))]
+    /// A key file doesn't contain a valid key.
+    #[error("{} does not contain a valid key", path.display())]
+    #[diagnostic(help("write the key on one line, in printable ASCII characters without spaces"))]
     Key {
         /// The file.
         path: PathBuf,
     },
-    /// Settings or a catalogue with faults, each shown at its line.
+    /// Settings or a catalogue with faults; each fault is reported with its line.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Invalid(#[from] Box<Invalid>),
-    /// An address can't be listened on.
+    Invalid(#[from] Box<InvalidDocument>),
+    /// Listening on an address failed.
     #[error("cannot listen on {address}")]
     #[diagnostic(help(
         "another process may hold the port: stop it, or change the address under `listen` in the \
-         settings; port 0 takes a free one"
+         settings; port 0 selects a free port"
     ))]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// The system's answer.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The node refused the call.
+    /// The node rejected the request.
     #[error("{title}: {detail}")]
-    #[diagnostic(help("docs/OPERATORS.md lists the problems and what to do about each"))]
+    #[diagnostic(help("see docs/OPERATORS.md for the problems and their remedies"))]
     Refused {
-        /// Kind of problem.
+        /// Title of the problem.
         title: String,
-        /// What happened and what to do.
+        /// Cause and remedy.
         detail: String,
     },
-    /// Another change of the catalogue came first.
+    /// The revision in force is not the expected one.
     #[error("nothing was applied: {detail}")]
-    #[diagnostic(help("see what changed with `bilberryfront catalogue diff FILE`"))]
+    #[diagnostic(help("show the changes with `bilberryfront catalogue diff FILE`"))]
     Conflict {
-        /// What the node says.
+        /// Message of the node.
         detail: String,
     },
-    /// Replies of the platform were lost.
+    /// The node received no response of the platform to a change of the catalogue.
     #[error("the outcome is unknown: {detail}")]
-    #[diagnostic(help("see with `bilberryfront catalogue history` whether the change is there"))]
+    #[diagnostic(help("check with `bilberryfront catalogue history` whether the change was made"))]
     Unknown {
-        /// What the node says.
+        /// Message of the node.
         detail: String,
     },
-    /// The table gave no answer to a move's write.
+    /// The node received no response of the table service to the write of a move.
     #[error("the outcome is unknown: {detail}")]
-    #[diagnostic(help("see with `bilberryfront move status ENTRY` whether the move is there"))]
+    #[diagnostic(help(
+        "check with `bilberryfront move status ENTRY` whether the move was recorded"
+    ))]
     MoveUnknown {
-        /// What the node says.
+        /// Message of the node.
         detail: String,
     },
-    /// The platform gives the node no answer.
+    /// The platform doesn't respond to the node.
     #[error("nothing was done: {detail}")]
-    #[diagnostic(help("the node is well but its platform is not: try again in {seconds} s"))]
+    #[diagnostic(help(
+        "the node runs, but its platform does not respond: try again in {seconds} s"
+    ))]
     StoreDown {
-        /// What the node says.
+        /// Message of the node.
         detail: String,
-        /// When to try again, in seconds.
+        /// Time until a retry, in seconds.
         seconds: u32,
     },
-    /// The node can't be connected to.
+    /// Connecting to the node failed.
     #[error("cannot connect to {url}: {reason}")]
-    #[diagnostic(help("give the operators' address of a node that runs with --node"))]
+    #[diagnostic(help("set --node to the operators' address of a running node"))]
     Unreachable {
-        /// The node.
+        /// URL of the node.
         url: String,
-        /// What failed.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The node's answer was lost.
-    #[error("no usable answer from {url}: {reason}")]
+    /// The node's response was lost or invalid.
+    #[error("no valid response from {url}: {reason}")]
     #[diagnostic(help(
-        "the node may have done it: look with `bilberryfront catalogue history` or `bilberryfront \
-         move list`, or ask another node"
+        "the node may have processed the request: check with `bilberryfront catalogue history` or \
+         `bilberryfront move list`, or use another node"
     ))]
     Lost {
-        /// The node.
+        /// URL of the node.
         url: String,
-        /// What failed.
+        /// Cause of the failure.
         reason: String,
     },
-    /// A system call failed that seldom does.
+    /// A system call that rarely fails has failed.
     #[error("cannot {attempt}")]
-    #[diagnostic(help("see the system's answer above; the process may be out of a resource"))]
+    #[diagnostic(help("see the cause above; the process may have exhausted a resource"))]
     System {
-        /// What was tried, such as `start a thread`.
+        /// Operation that failed, such as `start a thread`.
         attempt: &'static str,
-        /// The system's answer.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
@@ -121,23 +125,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
-    /// Done.
+    /// Success.
     Done = 0,
-    /// A file failed its check, `catalogue diff` found a difference, a move was taken back, or `explain` found
+    /// A file is invalid, `catalogue diff` found a difference, a move was rolled back, or `explain` found
     /// nothing.
     Failed = 1,
-    /// Wrong arguments.
+    /// Invalid arguments.
     Usage = 2,
-    /// The node refused: wrong key, a conflict with a newer revision, or a bad catalogue.
+    /// The node rejected the request: wrong key, conflict with a newer revision, or invalid catalogue.
     Refused = 3,
-    /// No answer from the node, or the node has none from the platform.
+    /// The node doesn't respond, or the platform doesn't respond to the node.
     Unreachable = 4,
-    /// The process can't run here: an occupied address or a failed system call.
+    /// The process can't start: the address is in use, or a system call failed.
     System = 5,
 }
 
 impl Error {
-    /// The exit code that tells scripts this error.
+    /// Returns the exit code for this error.
     pub fn exit(&self) -> Exit {
         match self {
             Error::Read { .. } | Error::Key { .. } | Error::Invalid(_) => Exit::Failed,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -16,7 +16,7 @@
     },
 };
 
-/// Reads and checks a settings file; relative paths in it start at its folder.
+/// Reads and validates a settings file; relative paths in it are relative to its folder.
 pub fn load(path: &Path) -> Result<Settings> {
     let doc = Document::read(path)?;
     let mut settings = doc.parse::<Settings>()?;
@@ -31,30 +31,30 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Unique name of the instance, as in the platform's list.
+    /// Unique name of the instance, as in the platform's instance list.
     pub name: CompactString,
     /// Region, such as `east-mids`.
     pub region: CompactString,
     /// Failure domain, such as `east-mids-a`.
     pub domain: CompactString,
-    /// Addresses to listen on; port 0 takes a free one.
+    /// Addresses to listen on; port 0 selects a free port.
     pub listen: Listen,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Lower-case hex SHA-256 digests of the keys that operators may use.
+    /// Lower-case hex SHA-256 digests of the operators' keys.
     pub operators: Vec<CompactString>,
-    /// Certificates for talking to other nodes.
+    /// Certificates for connections to other nodes.
     pub tls: Tls,
-    /// How traffic is carried.
+    /// Traffic threads.
     #[serde(default)]
     pub traffic: Traffic,
-    /// How to leave.
+    /// Draining on shutdown.
     #[serde(default)]
     pub drain: Drain,
-    /// What to log.
+    /// Logging.
     #[serde(default)]
     pub log: Log,
-    /// Where to send metrics; nowhere when absent.
+    /// Destination of the metrics; not sent if absent.
     #[serde(default)]
     pub metrics: Option<Metrics>,
 }
@@ -64,15 +64,15 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Callers' HTTP.
+    /// Address for callers, HTTP.
     pub callers: SocketAddr,
-    /// Operators' HTTP.
+    /// Address for operators, HTTP.
     pub operators: SocketAddr,
-    /// Other nodes, QUIC over UDP.
+    /// Address for other nodes, QUIC over UDP.
     pub peers: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -88,11 +88,11 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
-    /// Certificate chain of this node; its first DNS name is the node's name.
+    /// Certificate chain of this node; the first DNS name is the node's name.
     pub certificate: PathBuf,
     /// Private key of the certificate.
     pub key: PathBuf,
-    /// Certificates of the authority that signs every node's certificate.
+    /// Certificates of the authority that signs the certificates of all nodes.
     pub authority: PathBuf,
 }
 
@@ -104,12 +104,12 @@
     }
 }
 
-/// How traffic is carried.
+/// Traffic settings.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// Threads that carry requests and streams.
+    /// Number of threads that handle requests and streams.
     pub threads: usize,
 }
 
@@ -119,13 +119,13 @@
     }
 }
 
-/// How to leave.
+/// Settings for draining on shutdown.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drain {
-    /// Seconds for which callers may keep an answer of `/v1/addresses`; a leaving node serves new
-    /// requests for that long.
+    /// Time in seconds for which callers may cache a response of `/v1/addresses`; a draining node
+    /// accepts new requests for that time.
     pub ttl: u32,
 }
 
@@ -135,14 +135,14 @@
     }
 }
 
-/// What to log.
+/// Logging settings.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// Form of a line.
+    /// Format of a line.
     pub format: LogFormat,
-    /// Least severe level that is written: `error`, `warn`, `info` or `debug`.
+    /// Minimum level: `error`, `warn`, `info` or `debug`.
     pub level: CompactString,
 }
 
@@ -152,22 +152,22 @@
     }
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For people.
+    /// Plain text for people.
     Text,
 }
 
-/// Where to send metrics.
+/// Destination of the metrics.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Metrics {
-    /// Address of a StatsD collector, UDP.
+    /// UDP address of a StatsD collector.
     pub statsd: SocketAddr,
 }
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,34 +1,34 @@
-//! Checks of settings that their types can't make.
+//! Validation of settings beyond their types.
 
 use {
     super::{
         Settings, identity,
-        locate::{Document, Located},
+        locate::{Document, LocatedFault},
     },
     bilberryfront_decide::catalog::{FaultKind, Step, is_digest},
     std::net::SocketAddr,
 };
 
-/// Most traffic threads that make sense on one instance.
+/// Maximum number of traffic threads; more are not useful on one instance.
 const MAX_THREADS: usize = 256;
-/// Longest time, in seconds, for which callers may keep a list of addresses.
-const MAX_TTL: u32 = 3_600;
-/// Levels of `log.level`.
-const LEVELS: [&str; 4] = ["error", "warn", "info", "debug"];
+/// Maximum time, in seconds, for which callers may cache a list of addresses.
+const MAX_TTL_SECS: u32 = 3_600;
+/// Valid values of `log.level`.
+const LOG_LEVELS: [&str; 4] = ["error", "warn", "info", "debug"];
 
-/// Finds every fault of `settings`, which were read from `doc`.
-pub fn find_faults(doc: &Document, settings: &Settings) -> Vec<Located> {
+/// Returns all faults of `settings`, which were parsed from `doc`.
+pub fn find_faults(doc: &Document, settings: &Settings) -> Vec<LocatedFault> {
     let mut faults = Vec::new();
-    names(doc, settings, &mut faults);
-    listeners(doc, settings, &mut faults);
-    platform(doc, settings, &mut faults);
-    operators(doc, settings, &mut faults);
-    numbers(doc, settings, &mut faults);
+    check_names(doc, settings, &mut faults);
+    check_listeners(doc, settings, &mut faults);
+    check_platform(doc, settings, &mut faults);
+    check_operators(doc, settings, &mut faults);
+    check_ranges(doc, settings, &mut faults);
     identity::check(doc, settings, &mut faults);
     faults
 }
 
-fn names(doc: &Document, settings: &Settings, faults: &mut Vec<Located>) {
+fn check_names(doc: &Document, settings: &Settings, faults: &mut Vec<LocatedFault>) {
     let names =
         [("name", &settings.name), ("region", &settings.region), ("domain", &settings.domain)];
     for (field, _) in names.iter().filter(|(_, value)| value.trim().is_empty()) {
@@ -37,10 +37,11 @@
     }
 }
 
-/// The callers' and the operators' listener are both TCP; the peers' is UDP and may share a port.
-fn listeners(doc: &Document, settings: &Settings, faults: &mut Vec<Located>) {
+/// Checks that the TCP listeners for callers and operators don't share a port. The peer listener is UDP
+/// and may use the same port number.
+fn check_listeners(doc: &Document, settings: &Settings, faults: &mut Vec<LocatedFault>) {
     let listen = &settings.listen;
-    if overlap(listen.callers, listen.operators) {
+    if is_conflict(listen.callers, listen.operators) {
         faults.push(doc.fault(
             &[Step::Field("listen"), Step::Field("operators")],
             format!("`callers` and `operators` both listen on port {}", listen.operators.port()),
@@ -49,18 +50,18 @@
     }
 }
 
-fn overlap(a: SocketAddr, b: SocketAddr) -> bool {
+fn is_conflict(a: SocketAddr, b: SocketAddr) -> bool {
     let same_host = a.ip() == b.ip() || a.ip().is_unspecified() || b.ip().is_unspecified();
     a.port() != 0 && a.port() == b.port() && same_host
 }
 
-fn platform(doc: &Document, settings: &Settings, faults: &mut Vec<Located>) {
+fn check_platform(doc: &Document, settings: &Settings, faults: &mut Vec<LocatedFault>) {
     let urls = [("table", &settings.platform.table), ("instances", &settings.platform.instances)];
     for (field, url) in urls.iter().filter(|(_, url)| !is_base_url(url)) {
         faults.push(doc.fault(
             &[Step::Field("platform"), Step::Field(field)],
             format!("`{url}` is not a base URL"),
-            "write http://HOST:PORT, without a slash at the end",
+            "write http://HOST:PORT, without a trailing slash",
         ));
     }
 }
@@ -70,7 +71,7 @@
     url.starts_with("http://") && !url.ends_with('/') && uri.is_ok_and(|u| u.host().is_some())
 }
 
-fn operators(doc: &Document, settings: &Settings, faults: &mut Vec<Located>) {
+fn check_operators(doc: &Document, settings: &Settings, faults: &mut Vec<LocatedFault>) {
     if settings.operators.is_empty() {
         let help = format!(
             "without a key nobody can apply a catalogue; {}",
@@ -85,7 +86,7 @@
     }
 }
 
-fn numbers(doc: &Document, settings: &Settings, faults: &mut Vec<Located>) {
+fn check_ranges(doc: &Document, settings: &Settings, faults: &mut Vec<LocatedFault>) {
     if !(1..=MAX_THREADS).contains(&settings.traffic.threads) {
         faults.push(doc.fault(
             &[Step::Field("traffic"), Step::Field("threads")],
@@ -93,18 +94,18 @@
             &format!("write a number from 1 to {MAX_THREADS}, such as the number of cores"),
         ));
     }
-    if !(1..=MAX_TTL).contains(&settings.drain.ttl) {
+    if !(1..=MAX_TTL_SECS).contains(&settings.drain.ttl) {
         faults.push(doc.fault(
             &[Step::Field("drain"), Step::Field("ttl")],
             format!("a time to live of {} seconds", settings.drain.ttl),
-            &format!("write a number of seconds from 1 to {MAX_TTL}"),
+            &format!("write a number of seconds from 1 to {MAX_TTL_SECS}"),
         ));
     }
-    if !LEVELS.contains(&settings.log.level.as_str()) {
+    if !LOG_LEVELS.contains(&settings.log.level.as_str()) {
         faults.push(doc.fault(
             &[Step::Field("log"), Step::Field("level")],
             format!("unknown level `{}`", settings.log.level),
-            &format!("write one of {}", LEVELS.join(", ")),
+            &format!("write one of {}", LOG_LEVELS.join(", ")),
         ));
     }
 }
--- a/src/settings/identity.rs
+++ b/src/settings/identity.rs
@@ -1,9 +1,9 @@
-//! Checks of the certificate files under `tls`.
+//! Validation of the certificate files under `tls`.
 
 use {
     super::{
         Settings,
-        locate::{Document, Located},
+        locate::{Document, LocatedFault},
     },
     bilberryfront_decide::catalog::Step,
     rustls::{crypto::ring, sign::CertifiedKey},
@@ -18,41 +18,41 @@
 /// A result whose error is a [`FileError`].
 type Result<T> = std::result::Result<T, FileError>;
 
-/// Why a PEM file can't be used.
+/// Reason why a PEM file can't be used.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 enum FileError {
     #[error(transparent)]
     Pem(#[from] pem::Error),
     #[error("no certificate in it")]
-    Empty,
+    NoCertificate,
 }
 
 type Chain = Vec<CertificateDer<'static>>;
 
-/// Finds every fault of the files that `settings` names; their paths are already resolved.
-pub fn check(doc: &Document, settings: &Settings, faults: &mut Vec<Located>) {
+/// Adds all faults of the files under `settings.tls`, whose paths are already resolved.
+pub fn check(doc: &Document, settings: &Settings, faults: &mut Vec<LocatedFault>) {
     let tls = &settings.tls;
-    let authority = certificates(&tls.authority)
-        .map_err(|e| faults.push(unreadable(doc, "authority", &tls.authority, &e)));
-    let chain = certificates(&tls.certificate)
-        .map_err(|e| faults.push(unreadable(doc, "certificate", &tls.certificate, &e)));
+    let authority = read_certificates(&tls.authority)
+        .map_err(|e| faults.push(unusable_file(doc, "authority", &tls.authority, &e)));
+    let chain = read_certificates(&tls.certificate)
+        .map_err(|e| faults.push(unusable_file(doc, "certificate", &tls.certificate, &e)));
     let key = PrivateKeyDer::from_pem_file(&tls.key)
-        .map_err(|e| faults.push(unreadable(doc, "key", &tls.key, &e.into())));
+        .map_err(|e| faults.push(unusable_file(doc, "key", &tls.key, &e.into())));
     let Ok(chain) = chain else { return };
     check_name(doc, settings, &chain, faults);
     if let Ok(authority) = authority {
-        check_issuer(doc, &chain, &authority, faults);
+        check_acceptance(doc, &chain, &authority, faults);
     }
     if let Ok(key) = key {
-        check_pair(doc, chain, key, faults);
+        check_key(doc, chain, key, faults);
     }
 }
 
-fn certificates(path: &Path) -> Result<Chain> {
+fn read_certificates(path: &Path) -> Result<Chain> {
     let chain = CertificateDer::pem_file_iter(path)?.collect::<std::result::Result<Vec<_>, _>>()?;
     match chain.is_empty() {
-        true => Err(FileError::Empty),
+        true => Err(FileError::NoCertificate),
         false => Ok(chain),
     }
 }
@@ -61,32 +61,33 @@
     doc: &Document,
     settings: &Settings,
     chain: &[CertificateDer<'static>],
-    faults: &mut Vec<Located>,
+    faults: &mut Vec<LocatedFault>,
 ) {
-    let first = EndEntityCert::try_from(&chain[0])
+    let first_name = EndEntityCert::try_from(&chain[0])
         .ok()
         .and_then(|cert| cert.valid_dns_names().next().map(String::from));
-    if first.as_deref() != Some(settings.name.as_str()) {
-        let found = first.unwrap_or_else(|| "none".into());
+    if first_name.as_deref() != Some(settings.name.as_str()) {
+        let found = first_name.unwrap_or_else(|| "none".into());
         faults.push(doc.fault(
-            &field("certificate"),
+            &tls_field("certificate"),
             format!("the certificate's first DNS name is {found}, not `{}`", settings.name),
-            "other nodes know this node by that name: change `name`, or issue a certificate for it",
+            "other nodes verify this node by its name: change `name`, or issue a certificate for it",
         ));
     }
 }
 
-/// Without this check the node would start, and every peer would refuse it.
-fn check_issuer(
+/// Checks that peers would accept the certificate as that of a server and of a client. Otherwise the node
+/// would start, and every peer would reject it.
+fn check_acceptance(
     doc: &Document,
     chain: &[CertificateDer<'static>],
     authority: &[CertificateDer<'static>],
-    faults: &mut Vec<Located>,
+    faults: &mut Vec<LocatedFault>,
 ) {
     for usage in [KeyUsage::server_auth(), KeyUsage::client_auth()] {
         if let Err(e) = verify(chain, authority, usage) {
             faults.push(doc.fault(
-                &field("certificate"),
+                &tls_field("certificate"),
                 format!("other nodes would refuse the certificate: {e}"),
                 "issue a certificate that is valid now, by the authority under `authority`, for \
                  use as server and client",
@@ -113,26 +114,31 @@
         .map(|_| ())
 }
 
-fn check_pair(
+fn check_key(
     doc: &Document,
     chain: Chain,
     key: PrivateKeyDer<'static>,
-    faults: &mut Vec<Located>,
+    faults: &mut Vec<LocatedFault>,
 ) {
     if let Err(e) = CertifiedKey::from_der(chain, key, &ring::default_provider()) {
         faults.push(doc.fault(
-            &field("key"),
+            &tls_field("key"),
             format!("the key does not match the certificate: {e}"),
             "name the key file that was made together with `certificate`",
         ));
     }
 }
 
-fn unreadable(doc: &Document, name: &'static str, path: &Path, reason: &FileError) -> Located {
+fn unusable_file(
+    doc: &Document,
+    name: &'static str,
+    path: &Path,
+    reason: &FileError,
+) -> LocatedFault {
     let message = format!("cannot use {}: {reason}", path.display());
-    doc.fault(&field(name), message, "name a PEM file, relative to the settings file")
+    doc.fault(&tls_field(name), message, "name a PEM file, relative to the settings file")
 }
 
-fn field(name: &'static str) -> [Step; 2] {
+fn tls_field(name: &'static str) -> [Step; 2] {
     [Step::Field("tls"), Step::Field(name)]
 }
--- a/src/settings/locate.rs
+++ b/src/settings/locate.rs
@@ -1,4 +1,4 @@
-//! Documents in JSON with comments whose faults are shown at their lines.
+//! Documents in JSON with comments, and their faults with source locations.
 
 use {
     crate::error::{Error, Result},
@@ -15,40 +15,40 @@
     std::{path::Path, sync::Arc},
 };
 
-/// How alike two names must be for one to be proposed for the other; 1 is equal.
-const ALIKE: f64 = 0.7;
+/// Minimum Jaro-Winkler similarity at which a valid name is suggested for an unknown one; 1 is equal.
+const MIN_SIMILARITY: f64 = 0.7;
 
-/// A file with at least one fault.
+/// A document with at least one fault.
 #[derive(Debug)]
 #[derive(Diagnostic, thiserror::Error)]
 #[error("{name} has {} {}", faults.len(), if faults.len() == 1 { "fault" } else { "faults" })]
-pub struct Invalid {
-    /// The file.
+pub struct InvalidDocument {
+    /// Name of the document.
     pub name: String,
-    /// Its faults in the order of checking.
+    /// Faults in the order of the text.
     #[related]
-    pub faults: Vec<Located>,
+    pub faults: Vec<LocatedFault>,
 }
 
-/// A fault and its place.
+/// A fault and its location in the document.
 #[derive(Clone, Debug)]
 #[derive(Diagnostic, thiserror::Error)]
 #[error("{message}")]
-pub struct Located {
+pub struct LocatedFault {
     /// What is wrong.
     pub message: String,
-    /// What to do.
+    /// How to correct it.
     #[help]
     pub help: String,
-    /// The whole document.
+    /// Text of the document.
     #[source_code]
     pub source_code: NamedSource<Arc<str>>,
-    /// The wrong part.
+    /// Location of the fault.
     #[label("here")]
     pub span: SourceSpan,
 }
 
-/// The text of a document and its name.
+/// Name and text of a document.
 #[derive(Clone, Debug)]
 pub struct Document {
     name: String,
@@ -63,17 +63,17 @@
         Ok(Document::new(path.display().to_string(), &text))
     }
 
-    /// A document that was read elsewhere; faults call it `name`.
+    /// Creates a document from a text; faults refer to it as `name`.
     pub fn new(name: String, text: &str) -> Document {
         Document { name, text: text.into() }
     }
 
-    /// Reads the document as a `T`.
+    /// Parses the document as a `T`.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T> {
-        parse_to_serde_value(&self.text, &options()).map_err(|e| self.unparsable(&e))
+        parse_to_serde_value(&self.text, &parse_options()).map_err(|e| self.parse_error(&e))
     }
 
-    /// Whether the document is an object that has one of these fields.
+    /// Returns whether the document is an object that has any of these fields.
     pub fn has_any(&self, fields: &[&str]) -> bool {
         self.with_root(|root| {
             let object = root.as_object();
@@ -82,36 +82,36 @@
         .unwrap_or(false)
     }
 
-    /// A fault at the value that `path` leads to, or at the last step that exists.
-    pub fn fault(&self, path: &[Step], message: impl Into<String>, help: &str) -> Located {
+    /// Returns a fault at the value under `path`, or under the longest prefix of `path` that exists.
+    pub fn fault(&self, path: &[Step], message: impl Into<String>, help: &str) -> LocatedFault {
         let range = self.with_root(|root| find(root, path)).unwrap_or(Range::new(0, 0));
-        self.located(range, message.into(), help.into())
+        self.fault_at(range, message.into(), help.into())
     }
 
-    /// `Ok` when there are no faults; else an error that tells them in the order of the text.
-    pub fn ensure_no_faults(&self, mut faults: Vec<Located>) -> Result<()> {
+    /// Returns an error with the faults in the order of the text if there are any.
+    pub fn ensure_no_faults(&self, mut faults: Vec<LocatedFault>) -> Result<()> {
         faults.sort_by_key(|f| f.span.offset());
         match faults.is_empty() {
             true => Ok(()),
-            false => Err(Box::new(Invalid { name: self.name.clone(), faults }).into()),
+            false => Err(Box::new(InvalidDocument { name: self.name.clone(), faults }).into()),
         }
     }
 
-    fn with_root<T>(&self, look: impl FnOnce(&Value<'_>) -> T) -> Option<T> {
-        let parsed = parse_to_ast(&self.text, &CollectOptions::default(), &options()).ok()?;
-        Some(look(&parsed.value?))
+    fn with_root<T>(&self, visit: impl FnOnce(&Value<'_>) -> T) -> Option<T> {
+        let parsed = parse_to_ast(&self.text, &CollectOptions::default(), &parse_options()).ok()?;
+        Some(visit(&parsed.value?))
     }
 
-    fn unparsable(&self, error: &ParseError) -> Error {
+    fn parse_error(&self, error: &ParseError) -> Error {
         let message = error.kind().to_string();
-        let help = advice(&message);
-        let range = self.with_root(|root| offender(root, error.range(), &message)).flatten();
-        let fault = self.located(range.unwrap_or(error.range()), message, help);
-        Box::new(Invalid { name: self.name.clone(), faults: vec![fault] }).into()
+        let help = help_for(&message);
+        let range = self.with_root(|root| named_field(root, error.range(), &message)).flatten();
+        let fault = self.fault_at(range.unwrap_or(error.range()), message, help);
+        Box::new(InvalidDocument { name: self.name.clone(), faults: vec![fault] }).into()
     }
 
-    fn located(&self, range: Range, message: String, help: String) -> Located {
-        Located {
+    fn fault_at(&self, range: Range, message: String, help: String) -> LocatedFault {
+        LocatedFault {
             message,
             help,
             source_code: NamedSource::new(&self.name, self.text.clone()).with_language("json"),
@@ -120,8 +120,8 @@
     }
 }
 
-/// JSON with comments and trailing commas, and no other looseness.
-fn options() -> ParseOptions {
+/// Returns options for strict JSON with comments and trailing commas.
+fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -152,8 +152,9 @@
     value.range()
 }
 
-/// The name of the field that `message` complains about, where the parser tells only the object.
-fn offender(root: &Value<'_>, object: Range, message: &str) -> Option<Range> {
+/// Returns the location of the name of an unknown or duplicate field, for which the parser reports only
+/// the location of the object.
+fn named_field(root: &Value<'_>, object: Range, message: &str) -> Option<Range> {
     if !message.starts_with("unknown field") && !message.starts_with("duplicate field") {
         return None;
     }
@@ -162,7 +163,7 @@
     fields.iter().rfind(|p| p.name.as_str() == name).map(|p| p.name.range())
 }
 
-/// The fields of the object that starts at `start`.
+/// Returns the fields of the object that starts at offset `start`.
 fn fields_of<'a, 'b>(value: &'b Value<'a>, start: usize) -> Option<&'b [ObjectProp<'a>]> {
     match value {
         Value::Object(object) if object.range.start == start => Some(&object.properties),
@@ -172,19 +173,19 @@
     }
 }
 
-/// What to do about a message of serde or of the parser.
-fn advice(message: &str) -> String {
+/// Returns the help text for an error message of serde or the parser.
+fn help_for(message: &str) -> String {
     let mut names = message.split('`').skip(1).step_by(2);
     if message.starts_with("unknown ") {
-        let wrong = names.next().unwrap_or_default();
-        return match nearest(wrong, names) {
+        let unknown = names.next().unwrap_or_default();
+        return match most_similar(unknown, names) {
             Some(name) => format!("did you mean `{name}`?"),
             None => "remove it, or see docs/CONFIGURATION.md for the names".into(),
         };
     }
     if message.starts_with("missing field") {
         let name = names.next().unwrap_or_default();
-        return format!("add `{name}` to this object; docs/CONFIGURATION.md has an example");
+        return format!("add `{name}` to this object; see the example in docs/CONFIGURATION.md");
     }
     if message.starts_with("duplicate field") {
         return "remove one of the two".into();
@@ -199,10 +200,10 @@
     "the file must be JSON; comments and trailing commas are allowed".into()
 }
 
-fn nearest<'a>(wrong: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+fn most_similar<'a>(unknown: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names
-        .map(|name| (strsim::jaro_winkler(wrong, name), name))
-        .filter(|(likeness, _)| *likeness >= ALIKE)
+        .map(|name| (strsim::jaro_winkler(unknown, name), name))
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|(a, _), (b, _)| a.total_cmp(b))
         .map(|(_, name)| name)
 }
