--- a/src/cli/moves.rs
+++ b/src/cli/moves.rs
@@ -1,4 +1,4 @@
-//! The grammar of `move`.
+//! Definition of the command `move`.
 
 use {
     super::node_args,
@@ -8,10 +8,10 @@
     compact_str::CompactString,
 };
 
-/// The command `move`.
+/// Builds the command `move`.
 pub(super) fn command() -> Command {
     Command::new("move")
-        .about("Moves an entry's requests to a new version by a deadline, or takes them back")
+        .about("Moves an entry's requests to a new version by a deadline, or back to the old one")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommands([start(), status(), list(), undo()])
@@ -22,9 +22,9 @@
 }
 
 fn start() -> Command {
-    let named = |id: &'static str, value: &'static str, help: &'static str| {
+    let name_arg = |id: &'static str, value: &'static str, help: &'static str| {
         let arg = Arg::new(id).long(id).value_name(value).required(true).help(help);
-        arg.value_parser(ValueParser::new(name))
+        arg.value_parser(ValueParser::new(parse_name))
     };
     let by = Arg::new("by")
         .long("by")
@@ -35,52 +35,52 @@
     let force = Arg::new("force")
         .long("force")
         .action(ArgAction::SetTrue)
-        .help("Moves although the time is too short for the evidence");
+        .help("Starts the move even if the time is too short to collect the evidence");
     let wait = Arg::new("wait")
         .long("wait")
         .action(ArgAction::SetTrue)
-        .help("Follows the move to its end; exit code 0 only if the new version was adopted");
+        .help("Waits for the end of the move; exit code 0 only if the new version was adopted");
     Command::new("start")
         .about("Starts a move")
         .args(node_args())
-        .arg(named("entry", "ENTRY", "Catalogue entry"))
-        .arg(named("to", "VERSION", "New version, one of the entry's `versions`"))
+        .arg(name_arg("entry", "ENTRY", "Catalogue entry"))
+        .arg(name_arg("to", "VERSION", "New version, one of the entry's `versions`"))
         .arg(by)
         .args([
-            weight("on-time", "What being done by the deadline counts"),
-            weight("take-back", "What finding a bad version counts"),
-            weight("extra-use", "What the time with runners of two versions costs"),
+            weight_arg("on-time", "Weight of finishing by the deadline"),
+            weight_arg("take-back", "Weight of detecting a bad version"),
+            weight_arg("extra-use", "Weight of the time during which runners of both versions run"),
         ])
         .args([force, wait])
         .after_help(
             "Example:\n  \
              bilberryfront move start --entry verify-llm --to 2026-12 --by 2h --on-time 3 --wait\n\n\
-             Of the three weights only the proportions matter.",
+             Only the ratios between the three weights matter.",
         )
 }
 
-fn weight(id: &'static str, help: &'static str) -> Arg {
+fn weight_arg(id: &'static str, help: &'static str) -> Arg {
     Arg::new(id)
         .long(id)
         .value_name("N")
-        .value_parser(ValueParser::new(number))
+        .value_parser(ValueParser::new(parse_weight))
         .default_value("1")
         .help(help)
 }
 
-fn number(text: &str) -> Result<f64, String> {
-    let number = text.parse::<f64>().map_err(|e| e.to_string())?;
-    match number.is_finite() && number >= 0.0 {
-        true => Ok(number),
-        false => Err("write a number from 0 up".into()),
+fn parse_weight(text: &str) -> Result<f64, String> {
+    let weight = text.parse::<f64>().map_err(|e| e.to_string())?;
+    match weight.is_finite() && weight >= 0.0 {
+        true => Ok(weight),
+        false => Err("write a number of 0 or more".into()),
     }
 }
 
 fn status() -> Command {
     Command::new("status")
-        .about("Shows how an entry's latest move stands, what it waits for and what comes then")
+        .about("Shows the state of an entry's latest move, what it waits for and its next step")
         .args(node_args())
-        .arg(entry())
+        .arg(entry_arg())
         .after_help("Example:\n  bilberryfront move status verify-llm")
 }
 
@@ -93,23 +93,26 @@
 
 fn undo() -> Command {
     Command::new("undo")
-        .about("Takes an entry's move back: at the node at once, everywhere within seconds")
+        .about("Takes an entry's move back: immediately on the node, within seconds on all others")
         .args(node_args())
-        .arg(entry())
+        .arg(entry_arg())
         .after_help("Example:\n  bilberryfront move undo verify-llm")
 }
 
-fn entry() -> Arg {
+fn entry_arg() -> Arg {
     Arg::new("entry")
         .value_name("ENTRY")
-        .value_parser(ValueParser::new(name))
+        .value_parser(ValueParser::new(parse_name))
         .required(true)
         .help("Catalogue entry")
 }
 
-fn name(text: &str) -> Result<CompactString, String> {
+fn parse_name(text: &str) -> Result<CompactString, String> {
     match is_name(text) {
         true => Ok(text.into()),
-        false => Err("write a name as the catalogue has it".into()),
+        false => {
+            Err("write a name that is valid in the catalogue: letters, digits, `-`, `_` and `.`"
+                .into())
+        }
     }
 }
--- a/src/command.rs
+++ b/src/command.rs
@@ -1,4 +1,4 @@
-//! The subcommands.
+//! Execution of the subcommands.
 
 pub mod catalogue;
 pub mod check;
@@ -21,7 +21,7 @@
     tokio::runtime::{Builder, Runtime},
 };
 
-/// The whole program: reads the command line, does what it says, and reports a failure.
+/// Parses the command line, runs the command and prints its error, if any.
 pub fn main() -> ExitCode {
     let matches = cli::command().get_matches();
     match run(Options::from_matches(&matches)) {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Does what the user asked for.
+/// Runs a command.
 pub fn run(options: Options) -> Result<Exit> {
     match options {
         Options::Serve { settings } => serve::run(&settings),
@@ -57,11 +57,11 @@
     }
 }
 
-/// What a command that asks a node works with.
+/// Client and output of a command that sends requests to a node.
 pub struct Session {
-    /// The node.
+    /// Client of the node.
     pub node: NodeClient,
-    /// How results are shown.
+    /// Formatter of the results.
     pub output: Box<dyn Output>,
     format: Format,
 }
@@ -76,8 +76,8 @@
         })
     }
 
-    /// Tells people what goes on; standard output for machines holds one document, the result.
-    pub fn tell(&self, text: &str) {
+    /// Prints a progress message. JSON output omits these: it is a single document with the result.
+    pub fn print_progress(&self, text: &str) {
         if self.format == Format::Human {
             crate::output::print(text);
         }
--- a/src/command/catalogue.rs
+++ b/src/command/catalogue.rs
@@ -1,4 +1,4 @@
-//! `catalogue`: reads and changes the catalogue in force, through a node.
+//! `catalogue`: shows and changes the catalogue in force, through a node.
 
 pub mod apply;
 pub mod diff;
@@ -13,7 +13,7 @@
     },
 };
 
-/// Does one of `get`, `diff`, `apply` and `history`.
+/// Runs `get`, `diff`, `apply` or `history`.
 pub async fn run(session: &Session, command: &CatalogueCommand) -> Result<Exit> {
     match command {
         CatalogueCommand::Get => get::run(session).await,
--- a/src/command/catalogue/apply.rs
+++ b/src/command/catalogue/apply.rs
@@ -1,4 +1,4 @@
-//! `catalogue apply`: puts a file in force.
+//! `catalogue apply`: replaces the catalogue in force with a file.
 
 use {
     crate::{
@@ -12,23 +12,23 @@
     compact_str::format_compact,
 };
 
-/// Shows what the file changes, and applies it on condition that nothing changes meanwhile.
+/// Prints the changes and applies the file, provided that the revision in force does not change meanwhile.
 pub async fn run(session: &Session, options: &ApplyOptions) -> Result<Exit> {
     let doc = catalogue::load(&options.file)?;
-    let now = session.node.catalogue().await?;
-    check_revision(&now, options)?;
-    let differences = diff(&now.catalogue, &doc);
+    let current = session.node.catalogue().await?;
+    check_revision(&current, options)?;
+    let differences = diff(&current.catalogue, &doc);
     if differences.is_empty() {
-        print(&session.output.unchanged(now.revision, "the file says the same"));
+        print(&session.output.unchanged(current.revision, "the file says the same"));
         return Ok(Exit::Done);
     }
-    session.tell(&session.output.differences(now.revision, &differences));
+    session.print_progress(&session.output.differences(current.revision, &differences));
     if options.dry_run {
-        print(&session.output.unchanged(now.revision, "this was a dry run"));
+        print(&session.output.unchanged(current.revision, "this was a dry run"));
         return Ok(Exit::Done);
     }
     let proposal = Proposal {
-        expect: now.revision,
+        expect: current.revision,
         apply: format_compact!("{:032x}", rand::random::<u128>()),
         comment: options.comment.clone(),
         catalogue: doc,
@@ -38,11 +38,11 @@
     Ok(Exit::Done)
 }
 
-/// The file was made from an older revision: applying it would undo the changes since.
-fn check_revision(now: &CatalogueRevision, options: &ApplyOptions) -> Result<()> {
+/// Rejects a file that is based on another revision: applying it would revert the changes made since.
+fn check_revision(current: &CatalogueRevision, options: &ApplyOptions) -> Result<()> {
     match options.expect {
-        Some(expect) if expect != now.revision => Err(Error::Conflict {
-            detail: format!("revision {} is in force and not {expect}", now.revision),
+        Some(expect) if expect != current.revision => Err(Error::Conflict {
+            detail: format!("revision {} is in force and not {expect}", current.revision),
         }),
         _ => Ok(()),
     }
--- a/src/command/catalogue/diff.rs
+++ b/src/command/catalogue/diff.rs
@@ -10,12 +10,12 @@
     std::path::Path,
 };
 
-/// Shows every field that differs; fails when there is one.
+/// Prints all fields that differ; the exit code is [`Exit::Failed`] if there are any.
 pub async fn run(session: &Session, file: &Path) -> Result<Exit> {
     let doc = catalogue::load(file)?;
-    let now = session.node.catalogue().await?;
-    let differences = diff(&now.catalogue, &doc);
-    print(&session.output.differences(now.revision, &differences));
+    let current = session.node.catalogue().await?;
+    let differences = diff(&current.catalogue, &doc);
+    print(&session.output.differences(current.revision, &differences));
     match differences.is_empty() {
         true => Ok(Exit::Done),
         false => Ok(Exit::Failed),
--- a/src/command/catalogue/get.rs
+++ b/src/command/catalogue/get.rs
@@ -6,9 +6,9 @@
     output::print,
 };
 
-/// Shows the catalogue in force.
+/// Prints the catalogue in force.
 pub async fn run(session: &Session) -> Result<Exit> {
-    let numbered = session.node.catalogue().await?;
-    print(&session.output.catalogue(&numbered));
+    let current = session.node.catalogue().await?;
+    print(&session.output.catalogue(&current));
     Ok(Exit::Done)
 }
--- a/src/command/catalogue/history.rs
+++ b/src/command/catalogue/history.rs
@@ -1,4 +1,4 @@
-//! `catalogue history`: shows who changed the catalogue, when and why.
+//! `catalogue history`: shows the changes of the catalogue with their authors, times and reasons.
 
 use crate::{
     command::Session,
@@ -6,9 +6,9 @@
     output::print,
 };
 
-/// Shows the newest changes.
+/// Prints the latest changes.
 pub async fn run(session: &Session) -> Result<Exit> {
-    let past = session.node.history().await?;
-    print(&session.output.history(&past));
+    let entries = session.node.history().await?;
+    print(&session.output.history(&entries));
     Ok(Exit::Done)
 }
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: checks settings and catalogue files without a node.
+//! `check`: validates settings and catalogue files without a node.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
     std::path::{Path, PathBuf},
 };
 
-/// Checks every file and tells all faults of all files.
+/// Validates all files and prints all faults of each.
 pub fn run(kind: Option<FileKind>, files: &[PathBuf]) -> Exit {
     let mut exit = Exit::Done;
     for path in files {
@@ -28,7 +28,7 @@
 fn check(kind: Option<FileKind>, path: &Path) -> Result<String> {
     let kind = match kind {
         Some(kind) => kind,
-        None => guess(&Document::read(path)?),
+        None => detect_kind(&Document::read(path)?),
     };
     match kind {
         FileKind::Relay => {
@@ -47,7 +47,7 @@
     }
 }
 
-fn guess(doc: &Document) -> FileKind {
+fn detect_kind(doc: &Document) -> FileKind {
     if doc.has_any(&["accounts", "entries"]) {
         FileKind::Catalogue
     } else if doc.has_any(&["store", "bounds"]) {
--- a/src/command/completions.rs
+++ b/src/command/completions.rs
@@ -6,7 +6,7 @@
     std::io,
 };
 
-/// Prints the completions of every subcommand.
+/// Prints the completions of all subcommands.
 pub fn run(shell: Shell) -> Exit {
     clap_complete::generate(shell, &mut cli::command(), env!("CARGO_PKG_NAME"), &mut io::stdout());
     Exit::Done
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: tells from logs what became of a request, a runner or a catalogue.
+//! `explain`: reconstructs the history of a request, a runner or a catalogue from logs.
 
 use {
     crate::{
@@ -17,10 +17,10 @@
     },
 };
 
-/// Name that stands for standard input.
+/// File name that denotes standard input.
 const STDIN: &str = "-";
 
-/// Reads the logs and prints the history.
+/// Reads the logs and prints the history of the subject.
 pub fn run(options: &ExplainOptions) -> Result<Exit> {
     let mut logs = Logs::default();
     for path in &options.logs {
@@ -40,18 +40,18 @@
     };
     output::print(&match options.format {
         Format::Human => history.to_string(),
-        Format::Json => output::json::text(&history),
+        Format::Json => output::json::to_json(&history),
     });
     Ok(Exit::Done)
 }
 
-/// Log files may hold anything: what is no text is replaced and passed over as a line.
+/// Reads a log file. Invalid UTF-8 is replaced, so that the other lines of the file can still be parsed.
 fn read(path: &Path) -> Result<String> {
     let mut bytes = Vec::new();
-    let done = match path.as_os_str() == STDIN {
+    let result = match path.as_os_str() == STDIN {
         true => io::stdin().read_to_end(&mut bytes).map(|_| ()),
         false => fs::read(path).map(|all| bytes = all),
     };
-    done.map_err(|source| Error::Read { path: path.into(), source })?;
+    result.map_err(|source| Error::Read { path: path.into(), source })?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
--- a/src/command/moves.rs
+++ b/src/command/moves.rs
@@ -12,17 +12,17 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Time between two looks at a move that is waited for.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// How long a node may give no answer while a move is waited for.
+/// Interval between two polls of a move that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum time for which a node may not respond while a move is waited for.
 const RETRY_WINDOW: Duration = Duration::from_secs(30);
 
-/// Does one of `start`, `status`, `list` and `undo`.
+/// Runs `start`, `status`, `list` or `undo`.
 pub async fn run(session: &Session, command: &MoveCommand) -> Result<Exit> {
     match command {
         MoveCommand::Start { request, wait } => start(session, request, *wait).await,
         MoveCommand::Status(entry) => {
-            show(session, &session.node.move_of(entry).await?);
+            print_report(session, &session.node.move_of(entry).await?);
             Ok(Exit::Done)
         }
         MoveCommand::List => {
@@ -31,7 +31,7 @@
         }
         MoveCommand::Undo(entry) => {
             session.node.undo_move(entry).await?;
-            show(session, &session.node.move_of(entry).await?);
+            print_report(session, &session.node.move_of(entry).await?);
             Ok(Exit::Done)
         }
     }
@@ -40,56 +40,56 @@
 async fn start(session: &Session, request: &MoveRequest, wait: bool) -> Result<Exit> {
     let accepted = session.node.start_move(request).await?;
     if !wait {
-        show(session, &session.node.move_of(&request.entry).await?);
+        print_report(session, &session.node.move_of(&request.entry).await?);
         return Ok(Exit::Done);
     }
-    let report = follow(session, &request.entry, &accepted.id).await?;
-    show(session, &report);
+    let report = wait_for_end(session, &request.entry, &accepted.id).await?;
+    print_report(session, &report);
     match report.state {
         MoveState::Adopted => Ok(Exit::Done),
         _ => Ok(Exit::Failed),
     }
 }
 
-/// Follows a move to its end, and tells people each change.
+/// Waits for the end of a move and prints each change of its progress.
 ///
-/// A settled move isn't at its end: a late verdict still takes it back.
-async fn follow(session: &Session, entry: &str, id: &str) -> Result<MoveReport> {
-    let mut answered = Instant::now();
-    let mut printed = String::new();
+/// A settled move has not ended: a late verdict still rolls it back.
+async fn wait_for_end(session: &Session, entry: &str, id: &str) -> Result<MoveReport> {
+    let mut last_response = Instant::now();
+    let mut last_line = String::new();
     loop {
         match session.node.move_of(entry).await {
-            Ok(report) if report.id != id => return Err(replaced(&report)),
+            Ok(report) if report.id != id => return Err(superseded(&report)),
             Ok(report) if report.state.is_final() => return Ok(report),
             Ok(report) => {
-                answered = Instant::now();
+                last_response = Instant::now();
                 let line = human::moves::progress(&report);
-                if line != printed {
-                    session.tell(&line);
-                    printed = line;
+                if line != last_line {
+                    session.print_progress(&line);
+                    last_line = line;
                 }
             }
-            // A node that is busy or starts anew answers again soon; the move goes on without it.
-            Err(error) if is_lasting(&error) || answered.elapsed() > RETRY_WINDOW => {
+            // A busy or restarting node responds again soon; the move continues meanwhile.
+            Err(error) if is_permanent(&error) || last_response.elapsed() > RETRY_WINDOW => {
                 return Err(error);
             }
             Err(_) => {}
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn is_lasting(error: &Error) -> bool {
+fn is_permanent(error: &Error) -> bool {
     error.exit() != Exit::Unreachable
 }
 
-fn replaced(report: &MoveReport) -> Error {
+fn superseded(report: &MoveReport) -> Error {
     Error::Refused {
-        title: "Another move came after it".into(),
-        detail: format!("move {} to {} is the entry's latest", report.id, report.to),
+        title: "The move was superseded by another one".into(),
+        detail: format!("the latest move of the entry is {} to {}", report.id, report.to),
     }
 }
 
-fn show(session: &Session, report: &MoveReport) {
+fn print_report(session: &Session, report: &MoveReport) {
     print(&session.output.move_of(report));
 }
--- a/src/command/nodes.rs
+++ b/src/command/nodes.rs
@@ -8,7 +8,7 @@
     },
 };
 
-/// Shows every node that the asked one knows of.
+/// Prints all nodes that are known to the contacted node.
 pub async fn run(session: &Session) -> Result<Exit> {
     let nodes = session.node.nodes().await?;
     print(&session.output.nodes(&nodes));
--- a/src/command/relay.rs
+++ b/src/command/relay.rs
@@ -10,7 +10,7 @@
     std::path::Path,
 };
 
-/// Runs an instance until it has left.
+/// Runs an instance until it has drained.
 pub fn run(path: &Path) -> Result<Exit> {
     let settings = settings::relay::load(path)?;
     logs::start_stdout(&settings.log.level);
--- a/src/command/serve.rs
+++ b/src/command/serve.rs
@@ -8,7 +8,7 @@
     std::path::Path,
 };
 
-/// Runs a node until it has left.
+/// Runs a node until it has drained.
 pub fn run(path: &Path) -> Result<Exit> {
     let settings = settings::load(path)?;
     logs::start(&settings.log);
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line's arguments as typed values.
+//! Command line arguments as typed values.
 
 mod moves;
 
@@ -9,7 +9,7 @@
 
 pub use moves::MoveCommand;
 
-/// What the user asked for.
+/// A parsed command with its arguments.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Options {
     /// Run a node.
@@ -22,7 +22,7 @@
         /// The instance's settings file.
         settings: PathBuf,
     },
-    /// Check files.
+    /// Validate files.
     Check {
         /// Kind of the files; detected from their content if absent.
         kind: Option<FileKind>,
@@ -31,81 +31,81 @@
     },
     /// Read or change the catalogue in force.
     Catalogue {
-        /// The node to ask.
+        /// Node that receives the requests.
         node: NodeOptions,
-        /// What to do.
+        /// Subcommand.
         command: CatalogueCommand,
     },
-    /// Start, watch or undo version moves.
+    /// Start, show or undo version moves.
     Move {
-        /// The node to ask.
+        /// Node that receives the requests.
         node: NodeOptions,
-        /// What to do.
+        /// Subcommand.
         command: MoveCommand,
     },
     /// List nodes.
     Nodes {
-        /// The node to ask.
+        /// Node that receives the requests.
         node: NodeOptions,
     },
-    /// Tell the story of a request, a runner or a catalogue.
+    /// Reconstruct the history of a request, a runner or a catalogue from logs.
     Explain(ExplainOptions),
     /// Print shell completions.
     Completions(Shell),
 }
 
-/// What to explain, from which logs.
+/// Arguments of `explain`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExplainOptions {
     /// Id of a request or a runner, or a catalogue's version.
     pub id: String,
     /// Log files; `-` is standard input.
     pub logs: Vec<PathBuf>,
-    /// Form of the story.
+    /// Output format.
     pub format: Format,
 }
 
-/// A node to ask and how to show its answer.
+/// Arguments of all commands that send requests to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeOptions {
-    /// Base URL of the node's operators' address, without a slash at the end.
+    /// Base URL of the node's address for operators, without a trailing slash.
     pub url: String,
-    /// File that holds the operator's key.
+    /// File with the operator's key.
     pub key_file: PathBuf,
-    /// Form of the answer.
+    /// Output format.
     pub format: Format,
 }
 
-/// What to do with the catalogue in force.
+/// Subcommands of `catalogue`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatalogueCommand {
-    /// Show it.
+    /// Show the catalogue in force.
     Get,
-    /// Compare it with a file.
+    /// Compare the catalogue in force with a file.
     Diff {
         /// The file.
         file: PathBuf,
     },
-    /// Replace it by a file.
+    /// Replace the catalogue in force with a file.
     Apply(ApplyOptions),
-    /// Show who changed it.
+    /// Show the changes of the catalogue.
     History,
 }
 
-/// How to replace the catalogue in force.
+/// Arguments of `catalogue apply`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApplyOptions {
-    /// The new catalogue.
+    /// File with the new catalogue.
     pub file: PathBuf,
-    /// Revision that the file was made from; the one in force when absent.
+    /// Revision that the file is based on; the one in force if absent.
     pub expect: Option<Revision>,
-    /// Why, for the history.
+    /// Reason for the change, recorded in the history.
     pub comment: String,
-    /// Only show what would change.
+    /// Show the changes without applying them.
     pub dry_run: bool,
 }
 
-/// What a file is.
+/// Kind of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
     /// A node's settings.
@@ -117,19 +117,19 @@
 }
 
 impl Options {
-    /// Reads arguments that [`crate::cli::command`] has accepted.
+    /// Converts matches of [`crate::cli::command`].
     pub fn from_matches(matches: &ArgMatches) -> Options {
         let (name, matches) = matches.subcommand().expect("clap requires a subcommand");
         match name {
             "serve" => Options::Serve { settings: required(matches, "settings") },
             "relay" => Options::Relay { settings: required(matches, "settings") },
-            "check" => Options::Check { kind: kind(matches), files: files(matches) },
+            "check" => Options::Check { kind: file_kind(matches), files: files(matches) },
             "catalogue" => Options::Catalogue {
-                node: NodeOptions::from_matches(innermost(matches)),
+                node: NodeOptions::from_matches(subcommand_matches(matches)),
                 command: CatalogueCommand::from_matches(matches),
             },
             "move" => Options::Move {
-                node: NodeOptions::from_matches(innermost(matches)),
+                node: NodeOptions::from_matches(subcommand_matches(matches)),
                 command: MoveCommand::from_matches(matches),
             },
             "nodes" => Options::Nodes { node: NodeOptions::from_matches(matches) },
@@ -173,7 +173,7 @@
     }
 }
 
-fn innermost(matches: &ArgMatches) -> &ArgMatches {
+fn subcommand_matches(matches: &ArgMatches) -> &ArgMatches {
     matches.subcommand().map_or(matches, |(_, inner)| inner)
 }
 
@@ -184,7 +184,7 @@
     }
 }
 
-fn kind(matches: &ArgMatches) -> Option<FileKind> {
+fn file_kind(matches: &ArgMatches) -> Option<FileKind> {
     let kind = matches.get_one::<String>("kind")?;
     match kind.as_str() {
         "settings" => Some(FileKind::Settings),
--- a/src/options/moves.rs
+++ b/src/options/moves.rs
@@ -1,25 +1,25 @@
-//! The arguments of `move`.
+//! Arguments of `move`.
 
 use {
     super::required, crate::operator::message::MoveRequest, bilberryfront_decide::mover::Weights,
     clap::ArgMatches, compact_str::CompactString,
 };
 
-/// What to do with version moves.
+/// Subcommands of `move`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MoveCommand {
-    /// Start one.
+    /// Start a move.
     Start {
-        /// What is wanted.
+        /// Parameters of the move.
         request: MoveRequest,
-        /// Whether to follow it to its end.
+        /// Whether to wait for the end of the move.
         wait: bool,
     },
-    /// Show an entry's latest.
+    /// Show the latest move of an entry.
     Status(CompactString),
-    /// Show all entries' latest.
+    /// List the latest moves of all entries.
     List,
-    /// Take an entry's back.
+    /// Roll back the move of an entry.
     Undo(CompactString),
 }
 
--- a/src/output.rs
+++ b/src/output.rs
@@ -1,4 +1,4 @@
-//! How results are shown: tables for people, JSON for machines.
+//! Output formats of results: tables for people, JSON for machines.
 
 pub mod human;
 pub mod json;
@@ -17,7 +17,7 @@
     std::io::{self, Write},
 };
 
-/// Form of a command's result.
+/// Output format of a command's result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
     /// Tables and sentences.
@@ -27,28 +27,28 @@
     Json,
 }
 
-/// Turns results into text; each ends with a line break.
+/// Formats results as text that ends with a line break.
 pub trait Output {
-    /// The catalogue in force.
-    fn catalogue(&self, numbered: &CatalogueRevision) -> String;
-    /// What differs between the revision in force and a file.
+    /// Formats the catalogue in force.
+    fn catalogue(&self, current: &CatalogueRevision) -> String;
+    /// Formats the differences between the revision in force and a file.
     fn differences(&self, revision: Revision, differences: &[Difference]) -> String;
-    /// The catalogue's history.
-    fn history(&self, past: &[HistoryEntry]) -> String;
-    /// Nodes.
+    /// Formats the catalogue's history.
+    fn history(&self, entries: &[HistoryEntry]) -> String;
+    /// Formats a list of nodes.
     fn nodes(&self, nodes: &Nodes) -> String;
-    /// The latest moves of all entries.
+    /// Formats the latest moves of all entries.
     fn moves(&self, moves: &[MoveReport]) -> String;
-    /// How a move stands.
+    /// Formats the state of a move.
     fn move_of(&self, report: &MoveReport) -> String;
-    /// A catalogue is in force.
+    /// Formats the acceptance of a catalogue.
     fn accepted(&self, accepted: Accepted) -> String;
-    /// Nothing was changed, and why.
+    /// Formats the reason why nothing was changed.
     fn unchanged(&self, revision: Revision, reason: &str) -> String;
 }
 
 impl Format {
-    /// The output of this form.
+    /// Returns the formatter of this format.
     pub fn output(self) -> Box<dyn Output> {
         match self {
             Format::Human => Box::new(Human),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Writes to standard output; a reader that has seen enough, such as `head`, is no failure.
+/// Writes to standard output. Errors are ignored, because a reader such as `head` may close the pipe early.
 pub fn print(text: &str) {
     _ = io::stdout().write_all(text.as_bytes());
 }
--- a/src/output/human.rs
+++ b/src/output/human.rs
@@ -15,20 +15,20 @@
     comfy_table::{ContentArrangement, Table, TableComponent, presets},
 };
 
-/// Form of a time in UTC.
-const TIME: &str = "%Y-%m-%d %H:%M:%SZ";
-/// Longest value that is shown whole; digests of keys are longer.
-const WHOLE: usize = 40;
+/// Format of a time in UTC.
+const TIME_FORMAT: &str = "%Y-%m-%d %H:%M:%SZ";
+/// Maximum length, in characters, of a value that is not truncated; digests of keys are longer.
+const MAX_VALUE_CHARS: usize = 40;
 
-/// For people.
+/// Formatter for people.
 pub struct Human;
 
 impl Output for Human {
-    /// A catalogue file that can be edited and applied.
-    fn catalogue(&self, numbered: &CatalogueRevision) -> String {
-        let doc = serde_json::to_string_pretty(&numbered.catalogue);
+    /// Returns a catalogue file that can be edited and applied.
+    fn catalogue(&self, current: &CatalogueRevision) -> String {
+        let doc = serde_json::to_string_pretty(&current.catalogue);
         let doc = doc.expect("catalogues always serialize");
-        format!("// revision {}\n{doc}\n", numbered.revision)
+        format!("// revision {}\n{doc}\n", current.revision)
     }
 
     fn differences(&self, revision: Revision, differences: &[Difference]) -> String {
@@ -39,16 +39,16 @@
         for part in differences.chunk_by(|a, b| a.part == b.part) {
             add_part(&mut table, part);
         }
-        let count = count(differences.len(), "difference");
+        let count = with_plural(differences.len(), "difference");
         format!("{table}\n{count} from revision {revision}\n")
     }
 
-    fn history(&self, past: &[HistoryEntry]) -> String {
+    fn history(&self, entries: &[HistoryEntry]) -> String {
         let mut table = table(&["revision", "when", "who", "comment"]);
-        for HistoryEntry { revision, change } in past {
+        for HistoryEntry { revision, change } in entries {
             table.add_row([
                 revision.to_string(),
-                change.when.strftime(TIME).to_string(),
+                change.when.strftime(TIME_FORMAT).to_string(),
                 change.who.to_string(),
                 change.comment.clone(),
             ]);
@@ -87,38 +87,38 @@
     }
 }
 
-/// Adds a row for each field, or one row for a part that is wholly new or gone.
+/// Adds a row for each field, or a single row for a part that was added or removed as a whole.
 fn add_part(table: &mut Table, fields: &[Difference]) {
     let part = &fields[0].part;
-    let all = |absent: fn(&Difference) -> bool| fields.iter().all(absent);
-    let name = |d: &Difference| d.field == "name";
-    if fields.iter().any(name) && all(|d| d.before.is_none()) {
+    let all = |predicate: fn(&Difference) -> bool| fields.iter().all(predicate);
+    let is_name = |d: &Difference| d.field == "name";
+    if fields.iter().any(is_name) && all(|d| d.before.is_none()) {
         table.add_row([part, "all", "-", "new"]);
-    } else if fields.iter().any(name) && all(|d| d.after.is_none()) {
+    } else if fields.iter().any(is_name) && all(|d| d.after.is_none()) {
         table.add_row([part, "all", "in force", "-"]);
     } else {
         table.add_rows(fields.iter().map(|d| {
             [
                 part.clone(),
                 d.field.clone(),
-                shorten(d.before.as_deref()),
-                shorten(d.after.as_deref()),
+                truncate(d.before.as_deref()),
+                truncate(d.after.as_deref()),
             ]
         }));
     }
 }
 
-fn shorten(value: Option<&str>) -> String {
+fn truncate(value: Option<&str>) -> String {
     match value {
         None => "-".into(),
-        Some(value) if value.chars().count() <= WHOLE => value.into(),
-        Some(value) => value.chars().take(WHOLE).chain(['…']).collect(),
+        Some(value) if value.chars().count() <= MAX_VALUE_CHARS => value.into(),
+        Some(value) => value.chars().take(MAX_VALUE_CHARS).chain(['…']).collect(),
     }
 }
 
-fn count(count: usize, what: &str) -> String {
+fn with_plural(count: usize, noun: &str) -> String {
     let plural = if count == 1 { "" } else { "s" };
-    format!("{count} {what}{plural}")
+    format!("{count} {noun}{plural}")
 }
 
 fn table(header: &[&str]) -> Table {
--- a/src/output/json.rs
+++ b/src/output/json.rs
@@ -1,4 +1,4 @@
-//! Results as one JSON document.
+//! Results as a JSON document.
 
 use {
     super::Output,
@@ -13,17 +13,17 @@
     serde::Serialize,
 };
 
-/// For machines.
+/// Formatter for machines.
 pub struct Json;
 
-/// What differs from the revision in force.
+/// Differences from the revision in force.
 #[derive(Serialize)]
-struct Compared<'a> {
+struct Comparison<'a> {
     revision: Revision,
     differences: &'a [Difference],
 }
 
-/// Nothing was changed.
+/// Reason why nothing was changed.
 #[derive(Serialize)]
 struct Unchanged<'a> {
     revision: Revision,
@@ -31,41 +31,41 @@
 }
 
 impl Output for Json {
-    fn catalogue(&self, numbered: &CatalogueRevision) -> String {
-        text(numbered)
+    fn catalogue(&self, current: &CatalogueRevision) -> String {
+        to_json(current)
     }
 
     fn differences(&self, revision: Revision, differences: &[Difference]) -> String {
-        text(&Compared { revision, differences })
+        to_json(&Comparison { revision, differences })
     }
 
-    fn history(&self, past: &[HistoryEntry]) -> String {
-        text(&past)
+    fn history(&self, entries: &[HistoryEntry]) -> String {
+        to_json(&entries)
     }
 
     fn nodes(&self, nodes: &Nodes) -> String {
-        text(nodes)
+        to_json(nodes)
     }
 
     fn moves(&self, moves: &[MoveReport]) -> String {
-        text(&moves)
+        to_json(&moves)
     }
 
     fn move_of(&self, report: &MoveReport) -> String {
-        text(report)
+        to_json(report)
     }
 
     fn accepted(&self, accepted: Accepted) -> String {
-        text(&accepted)
+        to_json(&accepted)
     }
 
     fn unchanged(&self, revision: Revision, reason: &str) -> String {
-        text(&Unchanged { revision, unchanged: reason })
+        to_json(&Unchanged { revision, unchanged: reason })
     }
 }
 
-/// A value as one indented document.
-pub fn text(value: &impl Serialize) -> String {
+/// Serializes a value as an indented JSON document with a line break at the end.
+pub fn to_json(value: &impl Serialize) -> String {
     let mut text = serde_json::to_string_pretty(value).expect("results always serialize");
     text.push('\n');
     text
