--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! bilberryfront serves long generations on engines that fail.
+//! bilberryfront serves long generations on engines that can fail.
 //!
-//! One binary: daemons (`serve`) and the operators' command line. One thread owns all control state
-//! ([`control`]), others carry requests and streams ([`traffic`]).
+//! A single binary contains the daemons (`serve`, `relay`) and the operators' command line. One thread owns all
+//! control state ([`control`]); other threads handle requests and streams ([`traffic`]).
 
 pub use bilberryfront_peer as peer;
 
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,11 +1,11 @@
-//! Log lines as the settings ask: on standard error, or for entry instances on standard output.
+//! Logging: to standard error, and for entry instances to standard output.
 
 mod budget;
 
-pub use budget::left_out;
+pub use budget::dropped_lines;
 
 use {
-    self::budget::Budget,
+    self::budget::RateLimit,
     crate::settings::{Log, LogFormat},
     logforth::{
         append::{Stderr, Stdout, asynchronous::AsyncBuilder},
@@ -17,29 +17,29 @@
     },
 };
 
-/// Start of the targets of the product's own lines.
-const OURS: &str = env!("CARGO_PKG_NAME");
+/// Prefix of the log targets of this product.
+const OWN_TARGETS: &str = env!("CARGO_PKG_NAME");
 
-/// Lines that wait to be written; past it new ones are dropped. A reader that stops must cost neither
-/// memory nor the requests' time.
-const WAITING: usize = 2_048;
+/// Maximum number of buffered lines; further ones are dropped. A reader that stops must neither increase the
+/// memory use nor delay requests.
+const MAX_BUFFERED_LINES: usize = 2_048;
 
-/// Starts logging as JSON on standard output, at this level, without ever waiting for its reader; a second
-/// start changes nothing.
+/// Starts logging in JSON to standard output at this level. Logging never blocks on the reader. Further calls
+/// have no effect.
 pub fn start_stdout(level: &str) {
-    let least = level.parse().unwrap_or(Level::Info);
+    let level_filter = level.parse().unwrap_or(Level::Info);
     let append = AsyncBuilder::new("log")
-        .buffered_lines_limit(Some(WAITING))
+        .buffered_lines_limit(Some(MAX_BUFFERED_LINES))
         .overflow_drop_incoming()
         .append(Stdout::default().with_layout(layout(LogFormat::Json)))
         .build();
     let logger = core::builder()
-        .dispatch(|d| d.filter(filter(least)).filter(Budget::default()).append(append))
+        .dispatch(|d| d.filter(filter(level_filter)).filter(RateLimit::default()).append(append))
         .build();
     install(LogBridge::new(logger), level);
 }
 
-/// Starts logging for the whole process; a second start changes nothing.
+/// Starts logging to standard error. Further calls have no effect.
 pub fn start(log: &Log) {
     let level = log.level.parse().unwrap_or(Level::Info);
     let logger = core::builder()
@@ -56,8 +56,8 @@
     }
 }
 
-/// Libraries write lines for single events, such as a failed connection, which would drown the lines
-/// for changes of state in an outage. Only `debug` shows their warnings.
+/// Returns a filter that passes warnings of libraries only at level `debug`. Libraries log single events, such
+/// as a failed connection, and in an outage these would outnumber the lines on changes of state.
 fn filter(level: Level) -> RustLogFilter {
     let libraries = match level {
         Level::Debug => LevelFilter::MoreSevereEqual(Level::Warn),
@@ -65,7 +65,7 @@
     };
     RustLogFilterBuilder::default()
         .filter_level(libraries)
-        .filter_module(OURS, LevelFilter::MoreSevereEqual(level))
+        .filter_module(OWN_TARGETS, LevelFilter::MoreSevereEqual(level))
         .build()
 }
 
--- a/src/logs/budget.rs
+++ b/src/logs/budget.rs
@@ -1,8 +1,8 @@
-//! A bound on the log lines of a second.
+//! Rate limit for log lines.
 //!
-//! In a storm of failures each request would write lines, and writing them would take the processor from
-//! the requests that could still be served. Lines about what went well and about what didn't are counted
-//! apart, so that the former can't push the latter out.
+//! When many requests fail, each of them would write log lines, and writing these would take CPU time from the
+//! requests that could still be served. Warnings and errors have a limit of their own, so that lines of lower
+//! severity can't displace them.
 
 use {
     logforth::{
@@ -17,74 +17,76 @@
     tokio::time::{Duration, Instant},
 };
 
-/// Lines a second about what went well: over ten times what an instance writes on a day with crashes
-/// (some 7, counted).
-const USUAL: u32 = 100;
-/// Lines a second about what didn't.
-const FAILURES: u32 = 200;
-/// Time over which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// Maximum number of lines per second below level `warn`: more than ten times the rate of an instance on a day
+/// with crashes, which is about 7 lines per second.
+const MAX_INFO_LINES: u32 = 100;
+/// Maximum number of lines per second at level `warn` or above.
+const MAX_FAILURE_LINES: u32 = 200;
+/// Window in which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines left out since the start.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+/// Number of lines dropped since the start.
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lets through so many lines a second, and tells how many it didn't.
+/// A filter that limits the rate of log lines and logs how many were dropped.
 #[derive(Debug, Default)]
-pub(super) struct Budget {
+pub(super) struct RateLimit {
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     since: Option<Instant>,
-    usual: u32,
+    info: u32,
     failures: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-/// Lines left out since the start.
-pub fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+/// Returns the number of lines dropped since the start.
+pub fn dropped_lines() -> u64 {
+    DROPPED.load(Ordering::Relaxed)
 }
 
 impl State {
-    /// Starts a new span when the last one is over; the lines that were left out in it.
-    fn renew(&mut self, now: Instant) -> u64 {
-        if self.since.is_some_and(|since| now < since + SPAN) {
+    /// Starts a new window if the last one has ended, and returns the number of lines dropped in that one.
+    fn start_window(&mut self, now: Instant) -> u64 {
+        if self.since.is_some_and(|since| now < since + WINDOW) {
             return 0;
         }
-        let left_out = self.left_out;
+        let dropped = self.dropped;
         *self = State { since: Some(now), ..State::default() };
-        left_out
+        dropped
     }
 
-    fn take(&mut self, level: Level) -> bool {
-        let (count, most) = match level <= Level::Warn {
-            true => (&mut self.failures, FAILURES),
-            false => (&mut self.usual, USUAL),
+    /// Counts a line and returns whether it is within the limit.
+    fn count_line(&mut self, level: Level) -> bool {
+        let (count, limit) = match level <= Level::Warn {
+            true => (&mut self.failures, MAX_FAILURE_LINES),
+            false => (&mut self.info, MAX_INFO_LINES),
         };
         *count += 1;
-        let free = *count <= most;
-        self.left_out += u64::from(!free);
-        free
+        let is_within_limit = *count <= limit;
+        self.dropped += u64::from(!is_within_limit);
+        is_within_limit
     }
 }
 
-impl Filter for Budget {
+impl Filter for RateLimit {
     fn enabled(&self, _: &FilterCriteria<'_>, _: &[Box<dyn Diagnostic>]) -> FilterResult {
         FilterResult::Neutral
     }
 
     fn matches(&self, record: &Record<'_>, _: &[Box<dyn Diagnostic>]) -> FilterResult {
-        let (left_out, free) = {
-            let mut state = self.state.lock().expect("no holder of the lock panics");
-            (state.renew(Instant::now()), state.take(record.level()))
+        let (left_out, is_allowed) = {
+            let mut state =
+                self.state.lock().expect("the lock is not poisoned, because no holder panics");
+            (state.start_window(Instant::now()), state.count_line(record.level()))
         };
-        LEFT_OUT.fetch_add(u64::from(!free), Ordering::Relaxed);
+        DROPPED.fetch_add(u64::from(!is_allowed), Ordering::Relaxed);
         if left_out > 0 {
-            // Comes here again as a line of its own, in the new span and without the lock.
-            log::warn!(left_out; "log lines were left out");
+            // This line passes this filter again, in the new window; the lock has been released by now.
+            log::warn!(left_out; "log lines were dropped by the rate limit");
         }
-        if free { FilterResult::Neutral } else { FilterResult::Reject }
+        if is_allowed { FilterResult::Neutral } else { FilterResult::Reject }
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters, gauges and histograms for a StatsD collector.
 //!
-//! Counters are added up in memory and sent by [`Metrics::flush`], so that counting a token costs
+//! Counters are accumulated in memory and sent by [`Metrics::flush`], so that counting a token costs
 //! one atomic addition and no datagram.
 
 use {
@@ -17,14 +17,14 @@
     },
 };
 
-/// Prefix of every name.
+/// Prefix of all names.
 const PREFIX: &str = "bilberryfront";
-/// Time between two flushes.
-const FLUSH_EVERY: Duration = Duration::from_secs(1);
-/// Bytes of one datagram, below the usual Ethernet limit.
-const DATAGRAM: usize = 1_432;
+/// Interval between two flushes.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum size of a datagram in bytes, below the usual Ethernet limit.
+const MAX_DATAGRAM_BYTES: usize = 1_432;
 
-/// Declares an enum whose variants have a name each, and a list of all.
+/// Declares an enum with a metric name for each variant and a list of all variants.
 macro_rules! names {
     ($(#[$meta:meta])* $kind:ident { $($(#[$doc:meta])* $variant:ident = $name:literal,)* }) => {
         $(#[$meta])*
@@ -34,10 +34,10 @@
         }
 
         impl $kind {
-            /// Every variant in order.
+            /// All variants in order.
             pub const ALL: &[$kind] = &[$($kind::$variant,)*];
 
-            /// Name below the prefix.
+            /// Returns the metric name without the prefix.
             pub fn name(self) -> &'static str {
                 match self {
                     $($kind::$variant => $name,)*
@@ -48,45 +48,45 @@
 }
 
 names! {
-    /// What is counted.
+    /// Counters.
     Counter {
-        /// Callers' requests taken in.
+        /// Callers' requests received.
         Requests = "requests",
-        /// Callers' requests answered whole.
+        /// Callers' requests completed.
         Completed = "completed",
-        /// Callers' requests refused with `not_run`.
+        /// Callers' requests rejected with `not_run`.
         Refused = "refused",
         /// Callers' requests that ended with `partial`.
         Partial = "partial",
         /// Callers' requests that ended with `unknown`.
         Unknown = "unknown",
-        /// Requests whose caller left before the end.
+        /// Requests whose caller disconnected before the end.
         Abandoned = "abandoned",
         /// Tokens delivered to callers.
         Tokens = "tokens",
-        /// Tokens dropped as an older attempt's or as repeated.
+        /// Tokens dropped because they were repeated or of an older attempt.
         DroppedTokens = "tokens.dropped",
-        /// Sends to runners.
+        /// Requests sent to runners, including retries.
         Sends = "sends",
-        /// Runners whose connection could not be made or broke.
+        /// Failures to connect to a runner, and lost connections.
         RunnerBroken = "runners.broken",
-        /// Runners that were silent for too long.
+        /// Runners that exceeded the time limit without sending anything.
         RunnerStalled = "runners.stalled",
-        /// Runners that answered with an error status.
+        /// Error statuses of runners.
         RunnerRejected = "runners.rejected",
-        /// Runners whose stream broke its rules.
+        /// Streams of runners that violated the protocol.
         RunnerGarbled = "runners.garbled",
-        /// Generations continued on another runner.
+        /// Generations resumed on another runner.
         Resumes = "resumes",
-        /// Sends that the retry budget did not allow.
+        /// Sends prevented by the retry budget.
         BudgetEmpty = "retries.over_budget",
     }
 }
 
 names! {
-    /// What is measured now and then.
+    /// Gauges, which are measured periodically.
     Gauge {
-        /// Requests and streams open.
+        /// Open requests and streams.
         Open = "open",
         /// Requests running at runners.
         Running = "running",
@@ -98,19 +98,19 @@
         Revision = "catalogue.revision",
         /// Messages sent to other nodes since the start.
         PeersSent = "peers.sent",
-        /// Messages taken from other nodes since the start.
+        /// Messages received from other nodes since the start.
         PeersReceived = "peers.received",
         /// Messages to other nodes dropped since the start.
         PeersDropped = "peers.dropped",
-        /// Messages and connections of other nodes refused since the start.
+        /// Messages and connections of other nodes rejected since the start.
         PeersRefused = "peers.refused",
-        /// Commits of intents that the table answered since the start.
+        /// Commits of intents to which the table responded since the start.
         IntentCommits = "intents.commits",
         /// Rows in these commits since the start.
         IntentRows = "intents.rows",
         /// Commits of intents that failed since the start.
         IntentsFailed = "intents.failed",
-        /// Intents refused at once since the start.
+        /// Intents rejected immediately since the start.
         IntentsRefused = "intents.refused",
         /// Outcomes of calls that could not be recorded since the start.
         IntentsUnrecorded = "intents.unrecorded",
@@ -118,18 +118,18 @@
 }
 
 names! {
-    /// What is timed, each as a histogram in nanoseconds.
+    /// Durations, each as a histogram in nanoseconds.
     Timing {
-        /// A caller's request, from its head to the last byte of its answer.
+        /// Duration of a caller's request, from its head to the last byte of the response.
         Request = "request.time",
-        /// A generation, from the request's head to its first token.
+        /// Time from the head of a request to the first token.
         FirstToken = "first_token.time",
-        /// From a runner's loss to the next token.
+        /// Time from the loss of a runner to the next token.
         Resume = "resume.time",
     }
 }
 
-/// A handle for counting; clones share their counters.
+/// A handle for recording metrics; clones share their counters.
 #[derive(Clone)]
 pub struct Metrics {
     shared: Arc<Shared>,
@@ -141,30 +141,30 @@
 }
 
 impl Metrics {
-    /// Counts in memory only.
+    /// Creates metrics without a collector: counters are kept in memory, and gauges and durations discarded.
     pub fn in_memory() -> Metrics {
-        Metrics::with(None)
+        Metrics::with_client(None)
     }
 
-    /// Sends to the collector of the settings, or nowhere.
+    /// Creates metrics for the collector in the settings, or without a collector if there are no settings.
     pub fn start(settings: Option<&settings::Metrics>) -> io::Result<Metrics> {
         match settings {
-            Some(settings) => Ok(Metrics::with(Some(client(settings.statsd)?))),
+            Some(settings) => Ok(Metrics::with_client(Some(statsd_client(settings.statsd)?))),
             None => Ok(Metrics::in_memory()),
         }
     }
 
-    fn with(client: Option<StatsdClient>) -> Metrics {
+    fn with_client(client: Option<StatsdClient>) -> Metrics {
         let counts = array::from_fn(|_| AtomicU64::new(0));
         Metrics { shared: Arc::new(Shared { counts, client }) }
     }
 
-    /// Adds to a counter.
+    /// Increases a counter.
     pub fn add(&self, counter: Counter, count: u64) {
         self.shared.counts[counter as usize].fetch_add(count, Relaxed);
     }
 
-    /// What was counted since the last flush.
+    /// Returns the value that a counter has accumulated since the last flush.
     pub fn pending(&self, counter: Counter) -> u64 {
         self.shared.counts[counter as usize].load(Relaxed)
     }
@@ -176,14 +176,14 @@
         }
     }
 
-    /// Sends a time.
+    /// Sends a duration.
     pub fn time(&self, timing: Timing, time: Duration) {
         if let Some(client) = &self.shared.client {
             client.histogram_with_tags(timing.name(), time).send();
         }
     }
 
-    /// Sends what was counted since the last flush; to be called every second or so.
+    /// Sends the counters accumulated since the last flush; must be called about once per second.
     pub fn flush(&self) {
         let Some(client) = &self.shared.client else { return };
         for counter in Counter::ALL {
@@ -192,37 +192,37 @@
                 client.count_with_tags(counter.name(), count).send();
             }
         }
-        // A collector that is away loses these figures; the next ones may reach it.
+        // If the collector is unreachable, these values are lost; later ones may arrive.
         _ = client.flush();
     }
 }
 
-/// Sets gauges for ever, once for each flush.
+/// Records gauges once per flush interval; never returns.
 pub async fn measure_periodically(metrics: Metrics, measure: impl Fn(&Metrics)) {
-    let mut ticks = tokio::time::interval(FLUSH_EVERY);
+    let mut ticks = tokio::time::interval(FLUSH_INTERVAL);
     loop {
         ticks.tick().await;
         measure(&metrics);
     }
 }
 
-/// Flushes for ever.
+/// Flushes once per flush interval; never returns.
 pub async fn flush_periodically(metrics: Metrics) {
-    let mut ticks = tokio::time::interval(FLUSH_EVERY);
+    let mut ticks = tokio::time::interval(FLUSH_INTERVAL);
     loop {
         ticks.tick().await;
         metrics.flush();
     }
 }
 
-fn client(collector: SocketAddr) -> io::Result<StatsdClient> {
-    let any = match collector {
+fn statsd_client(collector: SocketAddr) -> io::Result<StatsdClient> {
+    let local = match collector {
         SocketAddr::V4(_) => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         SocketAddr::V6(_) => SocketAddr::from((Ipv6Addr::UNSPECIFIED, 0)),
     };
-    let socket = UdpSocket::bind(any)?;
+    let socket = UdpSocket::bind(local)?;
     socket.set_nonblocking(true)?;
-    let sink = BufferedUdpMetricSink::with_capacity(collector, socket, DATAGRAM)
+    let sink = BufferedUdpMetricSink::with_capacity(collector, socket, MAX_DATAGRAM_BYTES)
         .map_err(io::Error::other)?;
     Ok(StatsdClient::from_sink(PREFIX, sink))
 }
