--- a/src/catalogue/store.rs
+++ b/src/catalogue/store.rs
@@ -5,8 +5,8 @@
 //! - `catalogue/rev/N`: the catalogue of revision N, immutable;
 //! - `catalogue/log/N`: author, time, comment and apply id of revision N ([`Change`]).
 //!
-//! Revision numbers only increase and revisions are never deleted, so a delayed or repeated write can't
-//! revert an accepted catalogue.
+//! Revision numbers only increase and revisions are never deleted, so a delayed or repeated write
+//! can't revert an accepted catalogue.
 
 use {
     crate::platform::{http::PlatformError, table::Table},
@@ -24,7 +24,8 @@
 const HEAD: &str = "catalogue/head";
 /// Maximum number of times a commit is sent before its outcome is reported as unknown.
 const MAX_SENDS: u32 = 4;
-/// Pause before a commit with a lost reply is sent again, multiplied by the number of previous sends.
+/// Pause before a commit with a lost reply is sent again, multiplied by the number of previous
+/// sends.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Error of the store.
@@ -32,7 +33,7 @@
 #[derive(thiserror::Error)]
 pub enum StoreError {
     /// Nothing was read or written.
-    #[error("the table service is unavailable: {0}")]
+    #[error("the table service gives no answer: {0}")]
     Down(PlatformError),
     /// Replies were lost: the change may have been accepted.
     #[error("the table service's replies were lost; change {apply} may have been accepted")]
@@ -41,7 +42,7 @@
         apply: CompactString,
     },
     /// A row is missing or can't be decoded.
-    #[error("row {key} is corrupt: {reason}")]
+    #[error("row {key} is damaged: {reason}")]
     Damaged {
         /// Key of the row.
         key: CompactString,
@@ -77,6 +78,8 @@
 /// An entry of the catalogue's history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
+// Operators get the text of decoding errors, so the name in it stays the same.
+#[serde(expecting = "struct Past")]
 pub struct HistoryEntry {
     /// The revision.
     pub revision: Revision,
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -72,8 +72,8 @@
 impl InFlight {
     /// Counts a request in `in_flight`, or rejects it if the node doesn't accept new requests.
     pub fn new(control: &Control, in_flight: &Arc<AtomicUsize>) -> Result<InFlight> {
-        // Counted before the view is loaded: the node exits only when it rejects requests and the count
-        // is zero, so a request that was accepted can't be missed and aborted.
+        // Counted before the view is loaded: the node exits only when it rejects requests and the
+        // count is zero, so a request that was accepted can't be missed and aborted.
         in_flight.fetch_add(1, Ordering::SeqCst);
         let guard = InFlight(in_flight.clone());
         let view = control.view();
@@ -81,10 +81,8 @@
             return Ok(guard);
         }
         let detail = match view.ready {
-            true => "the node is draining: request the addresses from another node",
-            false => {
-                "the node is starting and has not received a catalogue and an instance list yet"
-            }
+            true => "the node is leaving: ask another for addresses",
+            false => "the node is starting and has no catalogue or instance list yet",
         };
         Err(problem::with_retry_after(not_run(Kind::NotServing, detail), NOT_SERVING_RETRY))
     }
