--- a/crates/scenarios/src/caller.rs
+++ b/crates/scenarios/src/caller.rs
@@ -1,11 +1,11 @@
-//! Callers: what each asked for, and what it holds.
+//! Simulated callers: what each requested and what it has received.
 
 use {
     crate::{
         language::{Call, Request, Resume},
         node::Node,
-        table::Link,
-        wire::Wire,
+        table::TableLink,
+        wire::RunnerClient,
     },
     bilberryfront::traffic::{
         InFlight, access, auth,
@@ -29,79 +29,83 @@
     volo_http::body::Body,
 };
 
-/// Entry of the engines.
-pub(crate) const ENGINE: &str = "llm";
-/// Bytes from which a prompt is of medium length, as the callers' face has it.
-const MEDIUM: usize = 2 << 10;
-/// Entry of the services.
-pub(crate) const SERVICE: &str = "app";
+/// Catalogue entry that all engines serve.
+pub(crate) const ENGINE_ENTRY: &str = "llm";
+/// Prompt length from which a request counts as medium; the same bound as the callers' endpoint uses.
+const MEDIUM_PROMPT_BYTES: usize = 2 << 10;
+/// Catalogue entry that all plain services serve.
+pub(crate) const SERVICE_ENTRY: &str = "app";
 
-/// How an answer ended.
+/// Outcome of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum End {
-    /// The whole answer is held.
+    /// The caller received the complete response.
     Whole,
-    /// With a problem document.
+    /// The response ended with a problem document.
     Problem(Problem),
-    /// The connection closed without a word.
+    /// The connection closed without an error message.
     Cut,
-    /// There was no connection: the node is dead.
+    /// No connection could be made because the node was dead.
     Unreached,
-    /// The caller itself closed it.
+    /// The caller closed the connection.
     HungUp,
 }
 
-/// What a caller asked for.
+/// Operation that a caller requested.
 #[derive(Clone, Debug)]
-pub(crate) enum Asked {
+pub(crate) enum Operation {
     Generation(Request),
     Call(Call),
 }
 
-/// What one caller knows.
+/// State of one caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
     pub(crate) name: CompactString,
     pub(crate) node: CompactString,
-    pub(crate) asked: Asked,
-    /// Identifiers of its generations at the runners.
-    pub(crate) legs: Vec<CompactString>,
+    pub(crate) operation: Operation,
+    /// Identifiers under which runners received its generations, one for each request or resume.
+    pub(crate) runner_request_ids: Vec<CompactString>,
     /// Event id and text of each token of a stream.
     pub(crate) tokens: Vec<(CompactString, CompactString)>,
-    /// The answer, when it came in one piece.
+    /// Response body, if the response was not streamed.
     pub(crate) body: String,
     pub(crate) end: Option<End>,
-    /// When it first asked.
-    pub(crate) since: Instant,
-    /// When it last sent or heard something, before the end.
-    pub(crate) active: Instant,
-    /// When it was told the end.
-    pub(crate) ended: Instant,
-    /// Whether its node was paused meanwhile.
+    /// Time of the first request.
+    pub(crate) requested_at: Instant,
+    /// Time at which it last sent a request or received tokens, before the end.
+    pub(crate) last_active_at: Instant,
+    /// Time at which the response ended.
+    pub(crate) ended_at: Instant,
+    /// Whether its node was paused at any time since the request.
     pub(crate) paused: bool,
 }
 
-/// A caller that its task at a node fills.
-pub(crate) type Shared = Arc<Mutex<Caller>>;
+/// Caller shared with the node's task that handles its request.
+pub(crate) type SharedCaller = Arc<Mutex<Caller>>;
 
 impl Caller {
-    pub(crate) fn new(name: &CompactString, node: &CompactString, asked: Asked) -> Shared {
+    pub(crate) fn new(
+        name: &CompactString,
+        node: &CompactString,
+        operation: Operation,
+    ) -> SharedCaller {
         Arc::new(Mutex::new(Caller {
             name: name.clone(),
             node: node.clone(),
-            asked,
-            legs: vec![],
+            operation,
+            runner_request_ids: vec![],
             tokens: vec![],
             body: String::new(),
             end: None,
-            since: Instant::now(),
-            active: Instant::now(),
-            ended: Instant::now(),
+            requested_at: Instant::now(),
+            last_active_at: Instant::now(),
+            ended_at: Instant::now(),
             paused: false,
         }))
     }
 
-    /// The text held.
+    /// Returns the text received so far.
     pub(crate) fn text(&self) -> String {
         match self.tokens.is_empty() {
             true => self.body.clone(),
@@ -111,64 +115,75 @@
 
     fn close(&mut self, end: End) {
         self.end = Some(end);
-        self.ended = Instant::now();
+        self.ended_at = Instant::now();
     }
 }
 
-/// Closes a caller's connection from one end or the other, unless its answer has ended.
-pub(crate) fn close(caller: &Shared, end: End) {
+/// Records `end` as the outcome, unless the response has already ended.
+pub(crate) fn close(caller: &SharedCaller, end: End) {
     let mut caller = caller.lock().unwrap();
     if caller.end.is_none() {
         caller.close(end);
     }
 }
 
-/// Sends a request for an answer, or its resume, to a node.
-pub(crate) fn ask(node: &mut Node, caller: &Shared, resume: Option<&Resume>) -> AbortHandle {
-    let leg = {
+/// Sends a generation request, or resumes one, at a node.
+pub(crate) fn send_generation(
+    node: &mut Node,
+    caller: &SharedCaller,
+    resume: Option<&Resume>,
+) -> AbortHandle {
+    let runner_request_id = {
         let mut held = caller.lock().unwrap();
         if let Some(resume) = resume {
             let keep = held.tokens.len().saturating_sub(resume.forget);
             held.tokens.truncate(keep);
             held.body.clear();
         }
-        (held.end, held.active, held.node) = (None, Instant::now(), node.name.clone());
-        let leg = format_compact!("{}-{}", held.name, held.legs.len() + 1);
-        held.legs.push(leg.clone());
-        leg
+        (held.end, held.last_active_at, held.node) = (None, Instant::now(), node.name.clone());
+        let runner_request_id =
+            format_compact!("{}-{}", held.name, held.runner_request_ids.len() + 1);
+        held.runner_request_ids.push(runner_request_id.clone());
+        runner_request_id
     };
-    let (control, wire, caller) = (node.control.clone(), node.wire.clone(), caller.clone());
-    let open = node.leaving.in_flight.clone();
+    let (control, runner_client, caller) =
+        (node.control.clone(), node.runner_client.clone(), caller.clone());
+    let in_flight = node.leaving.in_flight.clone();
     node.spawn(async move {
         let catalog = control.view().catalog.clone();
-        let prepared = InFlight::new(&control, &open)
-            .and_then(|e| Ok((e, prepare(&catalog, &caller.lock().unwrap(), leg)?)));
+        let prepared = InFlight::new(&control, &in_flight)
+            .and_then(|e| Ok((e, prepare(&catalog, &caller.lock().unwrap(), runner_request_id)?)));
         match prepared {
             Ok((_entered, (job, generation))) => {
-                follow(Driver::new(control, wire, job, generation), &caller).await;
+                record_stream(Driver::new(control, runner_client, job, generation), &caller).await;
             }
             Err(problem) => caller.lock().unwrap().close(End::Problem(problem)),
         }
     })
 }
 
-/// As the callers' face prepares a request; its reading of HTTP is tested through processes.
+/// Prepares a generation as the callers' endpoint does. HTTP parsing is covered by tests that run the
+/// real processes.
 fn prepare(
     catalog: &Catalog,
     caller: &Caller,
-    leg: CompactString,
+    runner_request_id: CompactString,
 ) -> Result<(Job, Generation), Problem> {
-    let Asked::Generation(request) = &caller.asked else { panic!("{} is a call", caller.name) };
-    let account = auth::account(catalog, &key(&request.account))?;
-    let (key, entry) = access::find(catalog, account, ENGINE, Kind::Engine)?;
+    let Operation::Generation(request) = &caller.operation else {
+        panic!("{} is a call", caller.name)
+    };
+    let account = auth::account(catalog, &auth_headers(&request.account))?;
+    let (key, entry) = access::find(catalog, account, ENGINE_ENTRY, Kind::Engine)?;
     let max = entry.limits.max_tokens;
-    let seed = Digest::new(&request.account, ENGINE, &request.prompt, max);
+    let seed = Digest::new(&request.account, ENGINE_ENTRY, &request.prompt, max);
     let held = caller.text();
     let generation = match caller.tokens.last() {
         None => Generation::new(seed, max, !request.whole),
         Some((id, _)) => {
-            let event = id.parse::<EventId>().expect("nodes write event ids");
-            let gone = || not_run(ProblemKind::ResumeMismatch, "its version is gone");
+            let event = id.parse::<EventId>().expect("nodes send valid event ids");
+            let gone = || {
+                not_run(ProblemKind::ResumeMismatch, "the version is no longer in the catalogue")
+            };
             let listed = entry.versions.contains(&event.version);
             let resumed = Generation::resume(seed, max, &event, &held);
             resumed.filter(|_| listed).ok_or_else(gone)?
@@ -177,13 +192,17 @@
     let prompt = request.prompt.to_string();
     let job = Job {
         request: caller.name.clone(),
-        runner_request: leg,
+        runner_request: runner_request_id,
         entry: key,
         account,
         limits: entry.limits,
-        model: ENGINE.into(),
-        route: if prompt.len() < MEDIUM { "interactive/short" } else { "interactive/medium" }
-            .into(),
+        model: ENGINE_ENTRY.into(),
+        route: if prompt.len() < MEDIUM_PROMPT_BYTES {
+            "interactive/short"
+        } else {
+            "interactive/medium"
+        }
+        .into(),
         prefix: xxhash_rust::xxh64::xxh64(prefix_bytes(&prompt), 0),
         prompt,
         max,
@@ -193,14 +212,14 @@
     Ok((job, generation))
 }
 
-async fn follow(mut driver: Driver<Wire>, caller: &Shared) {
-    let whole = matches!(&caller.lock().unwrap().asked, Asked::Generation(r) if r.whole);
+async fn record_stream(mut driver: Driver<RunnerClient>, caller: &SharedCaller) {
+    let whole = matches!(&caller.lock().unwrap().operation, Operation::Generation(r) if r.whole);
     while let Some(piece) = driver.next().await {
         let mut caller = caller.lock().unwrap();
         match piece {
             Piece::Tokens(_) if whole => {}
             Piece::Tokens(tokens) => {
-                caller.active = Instant::now();
+                caller.last_active_at = Instant::now();
                 caller.tokens.extend(tokens.into_iter().map(|t| (t.id, t.text)));
             }
             Piece::Finish(_) if whole => {
@@ -213,13 +232,15 @@
     }
 }
 
-/// Calls a plain service through a node.
-pub(crate) fn call(node: &mut Node, caller: &Shared) -> AbortHandle {
+/// Sends a call to a plain service through a node.
+pub(crate) fn send_call(node: &mut Node, caller: &SharedCaller) -> AbortHandle {
     let (services, caller) = (node.services.clone(), caller.clone());
-    let open = node.leaving.in_flight.clone();
+    let in_flight = node.leaving.in_flight.clone();
     node.spawn(async move {
-        let Asked::Call(call) = caller.lock().unwrap().asked.clone() else { panic!("no call") };
-        let answer = route(services, &open, &call).await;
+        let Operation::Call(call) = caller.lock().unwrap().operation.clone() else {
+            panic!("the operation is not a call")
+        };
+        let answer = run_call(services, &in_flight, &call).await;
         let mut caller = caller.lock().unwrap();
         match answer {
             Ok(reply) => {
@@ -231,36 +252,36 @@
     })
 }
 
-async fn route(
-    services: Services<Link, Wire>,
-    open: &Arc<AtomicUsize>,
+async fn run_call(
+    services: Services<TableLink, RunnerClient>,
+    in_flight: &Arc<AtomicUsize>,
     call: &Call,
 ) -> Result<Reply, Problem> {
-    let entered = InFlight::new(&services.control, open)?;
+    let entered = InFlight::new(&services.control, in_flight)?;
     let catalog = services.control.view().catalog.clone();
-    let job = read(&catalog, call).await?;
+    let job = read_job(&catalog, call).await?;
     match call.key.clone() {
         Some(key) => services::once::run(services, job, key, entered).await,
         None => services::repeat::run(&services, &job).await,
     }
 }
 
-async fn read(catalog: &Catalog, call: &Call) -> Result<job::Job, Problem> {
-    let account = auth::account(catalog, &key(&call.account))?;
+async fn read_job(catalog: &Catalog, call: &Call) -> Result<job::Job, Problem> {
+    let account = auth::account(catalog, &auth_headers(&call.account))?;
     let method = if call.key.is_some() { "POST" } else { "GET" };
     let mut request = http::Request::builder()
         .method(method)
-        .uri(format!("/v1/services/{SERVICE}/corrections"))
+        .uri(format!("/v1/services/{SERVICE_ENTRY}/corrections"))
         .header("call", call.name.as_str());
     if let Some(key) = &call.key {
         request = request.header("idempotency-key", key.as_str());
     }
-    let (head, ()) = request.body(()).expect("scenarios have plain names").into_parts();
+    let (head, ()) = request.body(()).expect("names are valid in headers").into_parts();
     job::Job::read(catalog, account, &head, Body::from(call.body.to_string())).await
 }
 
-/// The headers of an account, whose key is its name.
-fn key(account: &str) -> HeaderMap {
+/// Returns the authorization header of an account. Its API key is the account's name.
+fn auth_headers(account: &str) -> HeaderMap {
     let value = HeaderValue::from_str(&format!("Bearer {account}"));
-    HeaderMap::from_iter([(AUTHORIZATION, value.expect("scenarios have plain names"))])
+    HeaderMap::from_iter([(AUTHORIZATION, value.expect("names are valid in headers"))])
 }
--- a/crates/scenarios/src/checks.rs
+++ b/crates/scenarios/src/checks.rs
@@ -1,14 +1,14 @@
-//! What must always hold, checked after every step of every scenario.
+//! Invariants that are checked after every step of every scenario.
 
 use {
     crate::{
-        caller::{Asked, Caller, End},
-        gate::Life,
-        language::{Call, Request, Told},
+        caller::{Caller, End, Operation},
+        gate::ProcessState,
+        language::{Call, OperatorReply, Request},
         moves,
-        runner::{Log, Run, receipt},
+        runner::{GenerationRecord, Log, receipt},
         world::{Result, World},
-        writer::{TOKEN, token},
+        writer::{TOKEN_BYTES, token_text},
     },
     bilberryfront_decide::generation::event_id::EventId,
     bilberryfront_wire::problem::{Problem, Run as Ran},
@@ -16,56 +16,61 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Time after which a leaving runner gets nothing new.
-const LEAVES: Duration = Duration::from_secs(5);
-/// Longest time until a generation is refused with "not run" at a node that runs: the entry's
-/// longest wait for a runner, and a tick.
-const REFUSED: Duration = Duration::from_millis(2_000 + 100);
-/// The same for a call, which may meet runners that take no connection: the time in which another is
-/// tried, then once more the longest wait for a runner, for a connection, and for two exchanges with
-/// a slow table.
-const CALL_REFUSED: Duration = Duration::from_millis(1_500 + (2_000 + 1_000 + 2 * 500) + 100);
-/// Problems that asking again mends.
-const PASSING: [&str; 6] =
+/// Time after which a leaving runner must not receive new work.
+const LEAVE_GRACE: Duration = Duration::from_secs(5);
+/// Maximum time until a running node refuses a generation with "not run": the entry's `wait_ms`, and
+/// 100 ms for a tick.
+const GENERATION_REFUSAL_LIMIT: Duration = Duration::from_millis(2_000 + 100);
+/// The same limit for a call, which may select runners that accept no connection: 1.5 s in which other
+/// runners are tried, then `wait_ms` once more, 1 s for a connection, 500 ms for each of two exchanges
+/// with a slow table, and 100 ms for a tick.
+const CALL_REFUSAL_LIMIT: Duration = Duration::from_millis(1_500 + (2_000 + 1_000 + 2 * 500) + 100);
+/// Problems that a later retry can resolve.
+const TEMPORARY_PROBLEMS: [&str; 6] =
     ["account-limit", "overloaded", "no-runner", "not-serving", "store-down", "cut"];
 
-/// What the checks remember from one to the next.
+/// State kept between two runs of the checks.
 #[derive(Default)]
 pub(crate) struct Checks {
     revisions: BTreeMap<CompactString, u64>,
 }
 
 impl Checks {
-    /// A node started anew, and has no catalogue yet.
+    /// Resets the state of a node that has restarted, because it has no catalogue yet.
     pub(crate) fn restarted(&mut self, node: &str) {
         self.revisions.remove(node);
     }
 
-    /// Checks everything.
+    /// Checks all invariants.
     pub(crate) fn run(&mut self, world: &World) -> Result {
         let log = world.fleet.log.lock().unwrap();
         for caller in world.callers.values() {
             let caller = caller.lock().unwrap();
-            let held = match &caller.asked {
-                Asked::Generation(request) => answer(&caller, request, &log, world.tokens),
-                Asked::Call(call) => reply(&caller, call, &log),
+            let held = match &caller.operation {
+                Operation::Generation(request) => {
+                    check_generation(&caller, request, &log, world.tokens)
+                }
+                Operation::Call(call) => check_call(&caller, call, &log),
             };
-            held.and_then(|()| refusal(&caller)).map_err(|e| format!("{}: {e}", caller.name))?;
+            held.and_then(|()| check_refusal(&caller))
+                .map_err(|e| format!("{}: {e}", caller.name))?;
         }
-        graceful(world)?;
-        at_most_once(&log)?;
-        leaving(world, &log)?;
-        applied(world)?;
+        check_graceful_shutdown(world)?;
+        check_at_most_once(&log)?;
+        check_leaving_runners(world, &log)?;
+        check_applied_revisions(world)?;
         moves::check(world, &log)?;
-        self.catalogue(world)
+        self.check_catalogue(world)
     }
 
-    /// An accepted change never reverts: the catalogue in force at a node only grows.
-    fn catalogue(&mut self, world: &World) -> Result {
+    /// Checks that an accepted change never reverts: the catalogue revision at a node never decreases.
+    fn check_catalogue(&mut self, world: &World) -> Result {
         for (name, node) in &world.nodes {
             let (now, seen) = (node.revision(), self.revisions.entry(name.clone()).or_default());
             if now < *seen {
-                return Err(format!("node {name} went back from revision {seen} to {now}"));
+                return Err(format!(
+                    "catalogue of node {name} went back from revision {seen} to {now}"
+                ));
             }
             *seen = now;
         }
@@ -73,52 +78,63 @@
     }
 }
 
-/// The text held is one generation: each token follows from all before it, by an attempt made for
-/// this request, and no attempt comes back after a later one.
-fn answer(caller: &Caller, request: &Request, log: &Log, length: u32) -> Result {
-    let earlier = log.runs.partition_point(|r| r.begun < caller.since);
-    let own = log.runs[earlier..].iter().filter(|r| caller.legs.contains(&r.leg));
+/// Checks that the received text is one generation: each token follows from all tokens before it,
+/// comes from an attempt made for this request, and no attempt adds tokens after a later one has.
+fn check_generation(caller: &Caller, request: &Request, log: &Log, length: u32) -> Result {
+    let earlier = log.generations.partition_point(|r| r.started_at < caller.requested_at);
+    let own = log.generations[earlier..]
+        .iter()
+        .filter(|r| caller.runner_request_ids.contains(&r.runner_request_id));
     let own = own.collect::<Vec<_>>();
     let text = caller.text();
-    if !text.len().is_multiple_of(TOKEN) {
-        return Err(format!("a token is cut: {text:?}"));
+    if !text.len().is_multiple_of(TOKEN_BYTES) {
+        return Err(format!("text ends inside a token: {text:?}"));
     }
     let mut versions = own.iter().map(|r| &r.version).collect::<Vec<_>>();
     versions.sort();
     versions.dedup();
     let whole =
-        |v: &CompactString| coherent(&text, request, own.iter().filter(|r| r.version == *v));
+        |v: &CompactString| is_coherent(&text, request, own.iter().filter(|r| r.version == *v));
     if !text.is_empty() && !versions.into_iter().any(whole) {
         return Err(format!("tokens are missing, repeated or mixed: {text:?}"));
     }
     for (at, (id, _)) in caller.tokens.iter().enumerate() {
         let next = id.parse::<EventId>().map_err(|e| e.to_string())?.next;
         if next as usize != at + 1 {
-            return Err(format!("event {id} is the caller's token {}", at + 1));
+            return Err(format!("event {id} was received as the caller's token {}", at + 1));
         }
     }
-    if caller.end == Some(End::Whole) && text.len() / TOKEN != length as usize {
-        return Err(format!("{} of {length} tokens were called whole", text.len() / TOKEN));
+    if caller.end == Some(End::Whole) && text.len() / TOKEN_BYTES != length as usize {
+        return Err(format!(
+            "response reported as complete with {} of {length} tokens",
+            text.len() / TOKEN_BYTES
+        ));
     }
     match &caller.end {
         Some(End::Problem(p)) if p.run == Ran::NotRun => {
-            let last = caller.legs.last();
-            let sent = own.iter().any(|r| Some(&r.leg) == last);
-            if sent { Err(format!("\"not run\" is a lie: {}", p.detail)) } else { Ok(()) }
+            let last = caller.runner_request_ids.last();
+            let sent = own.iter().any(|r| Some(&r.runner_request_id) == last);
+            if sent {
+                Err(format!("reported as \"not run\", but sent to a runner: {}", p.detail))
+            } else {
+                Ok(())
+            }
         }
         _ => Ok(()),
     }
 }
 
-fn coherent<'a, 'b: 'a>(
+fn is_coherent<'a, 'b: 'a>(
     text: &str,
     request: &Request,
-    runs: impl Iterator<Item = &'a &'b Run>,
+    runs: impl Iterator<Item = &'a &'b GenerationRecord>,
 ) -> bool {
     let mut runs = runs.filter(|r| r.prompt == request.prompt).peekable();
-    (0..text.len()).step_by(TOKEN).all(|at| {
+    (0..text.len()).step_by(TOKEN_BYTES).all(|at| {
         let (before, after) = text.split_at(at);
-        let writes = |r: &Run| after.starts_with(&*token(&r.version, &r.prompt, r.salt, before));
+        let writes = |r: &GenerationRecord| {
+            after.starts_with(&*token_text(&r.version, &r.prompt, r.salt, before))
+        };
         while runs.peek().is_some_and(|r| !writes(r)) {
             runs.next();
         }
@@ -126,85 +142,97 @@
     })
 }
 
-/// A call's answer is its own, and "not run" is true against the runners' logs.
-fn reply(caller: &Caller, call: &Call, log: &Log) -> Result {
+/// Checks that a call got the response to its own body, and that a call reported as "not run" was
+/// received by no runner.
+fn check_call(caller: &Caller, call: &Call, log: &Log) -> Result {
     let key = call.key.as_deref().unwrap_or_default();
-    let read = || log.reads.iter().any(|r| r.call == call.name);
+    let read = || log.calls.iter().any(|r| r.call == call.name);
     match &caller.end {
         Some(End::Whole) if caller.body != receipt(&call.account, key, call.body.as_bytes()) => {
-            Err(format!("it got another call's answer: {}", caller.body))
+            Err(format!("received the response to another call: {}", caller.body))
         }
         Some(End::Problem(p)) if p.run == Ran::NotRun && read() => {
-            Err(format!("\"not run\" is a lie: {}", p.detail))
+            Err(format!("reported as \"not run\", but received by a runner: {}", p.detail))
         }
         _ => Ok(()),
     }
 }
 
-/// A refusal comes at once, and says when to come back where that helps.
-fn refusal(caller: &Caller) -> Result {
+/// Checks that a refusal comes within the limit, and has a `retry_after` if a retry can succeed.
+fn check_refusal(caller: &Caller) -> Result {
     let Some(End::Problem(problem)) = &caller.end else { return Ok(()) };
     let Problem { kind, run, retry_after, .. } = problem;
-    let passing = PASSING.iter().any(|p| kind.ends_with(p));
-    if passing && retry_after.is_none() {
-        return Err(format!("{kind} doesn't say when to come back: {}", problem.detail));
+    let is_temporary = TEMPORARY_PROBLEMS.iter().any(|p| kind.ends_with(p));
+    if is_temporary && retry_after.is_none() {
+        return Err(format!("{kind} has no retry_after: {}", problem.detail));
     }
-    let took = caller.ended - caller.active;
-    let most = match caller.asked {
-        Asked::Generation(_) => REFUSED,
-        Asked::Call(_) => CALL_REFUSED,
+    let took = caller.ended_at - caller.last_active_at;
+    let limit = match caller.operation {
+        Operation::Generation(_) => GENERATION_REFUSAL_LIMIT,
+        Operation::Call(_) => CALL_REFUSAL_LIMIT,
     };
-    if *run == Ran::NotRun && took > most && !caller.paused {
-        return Err(format!("{kind} took {took:?}"));
+    if *run == Ran::NotRun && took > limit && !caller.paused {
+        return Err(format!("{kind} took {took:?}, expected at most {limit:?}"));
     }
     Ok(())
 }
 
-/// A graceful shutdown cuts no request: nobody waits at a node that is about to exit.
-fn graceful(world: &World) -> Result {
+/// Checks that a graceful shutdown cuts no request: no caller waits at a node that is about to exit.
+fn check_graceful_shutdown(world: &World) -> Result {
     let exits = |name: &str| {
         let node = &world.nodes[name];
-        node.gone() && node.gate.life() == Life::Running
+        node.has_exited() && node.gate.process_state() == ProcessState::Running
     };
     let callers = world.callers.values().map(|c| c.lock().unwrap());
     match callers.into_iter().find(|c| c.end.is_none() && exits(&c.node)) {
-        Some(caller) => Err(format!("{} is cut by {}, which leaves", caller.name, caller.node)),
+        Some(caller) => Err(format!(
+            "the request of {} was cut by the graceful shutdown of {}",
+            caller.name, caller.node
+        )),
         None => Ok(()),
     }
 }
 
-fn at_most_once(log: &Log) -> Result {
+fn check_at_most_once(log: &Log) -> Result {
     let mut runs = BTreeMap::<_, usize>::new();
-    for read in log.reads.iter().filter(|r| r.ran && !r.key.is_empty()) {
+    for read in log.calls.iter().filter(|r| r.ran && !r.key.is_empty()) {
         let count = runs.entry((&read.account, &read.key)).or_default();
         *count += 1;
         if *count > 1 {
-            return Err(format!("{} of {} ran {count} times", read.key, read.account));
+            return Err(format!(
+                "call with key {} of account {} ran {count} times, expected at most once",
+                read.key, read.account
+            ));
         }
     }
     Ok(())
 }
 
-fn leaving(world: &World, log: &Log) -> Result {
-    let left = world.fleet.runners.iter().filter_map(|r| Some((&r.name, r.left()?)));
+fn check_leaving_runners(world: &World, log: &Log) -> Result {
+    let left = world.fleet.runners.iter().filter_map(|r| Some((&r.name, r.leave_requested_at()?)));
     for (name, left) in left {
-        let sent = log.runs.iter().map(|r| (&r.runner, r.begun));
-        let read = log.reads.iter().map(|r| (&r.runner, r.begun));
-        if sent.chain(read).any(|(runner, begun)| runner == name && begun > left + LEAVES) {
-            return Err(format!("{name} got work after it had been leaving for {LEAVES:?}"));
+        let sent = log.generations.iter().map(|r| (&r.runner, r.started_at));
+        let read = log.calls.iter().map(|r| (&r.runner, r.started_at));
+        if sent
+            .chain(read)
+            .any(|(runner, started_at)| runner == name && started_at > left + LEAVE_GRACE)
+        {
+            return Err(format!(
+                "{name} received work more than {LEAVE_GRACE:?} after it began to leave"
+            ));
         }
     }
     Ok(())
 }
 
-/// No two operators are told that the same revision is theirs.
-fn applied(world: &World) -> Result {
-    let told = world.operators.values().filter_map(|o| *o.lock().unwrap());
+/// Checks that no two operators receive the same revision as the result of their change.
+fn check_applied_revisions(world: &World) -> Result {
+    let replies = world.operators.values().filter_map(|o| *o.lock().unwrap());
     let mut revisions =
-        told.filter(|(t, _)| *t == Told::Applied).map(|(_, r)| r).collect::<Vec<_>>();
+        replies.filter(|(t, _)| *t == OperatorReply::Applied).map(|(_, r)| r).collect::<Vec<_>>();
     revisions.sort_unstable();
     match revisions.windows(2).find(|w| w[0] == w[1]) {
-        Some(twice) => Err(format!("two operators were told that revision {} is theirs", twice[0])),
+        Some(twice) => Err(format!("two operators received revision {} as their own", twice[0])),
         None => Ok(()),
     }
 }
--- a/crates/scenarios/src/fleet.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All runners, and the platform's lagging list of them.
+//! All runners, and the platform's instance list, which lags behind their real state.
 
 use {
     crate::runner::{Log, Runner},
@@ -12,79 +12,80 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Time between two snapshots of the truth.
-const SNAP_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two snapshots of the real state.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The fleet; clones share it.
+/// All runners and listed nodes; clones share the state.
 #[derive(Clone)]
 pub(crate) struct Fleet {
     pub(crate) runners: Arc<Vec<Runner>>,
     pub(crate) log: Arc<Mutex<Log>>,
-    /// Nodes that run, as the platform lists them.
+    /// Running nodes, as the platform lists them.
     pub(crate) nodes: Arc<Mutex<BTreeMap<CompactString, Instance>>>,
-    list: Arc<Mutex<List>>,
+    list: Arc<Mutex<LaggedList>>,
 }
 
-struct List {
+struct LaggedList {
     lag: Duration,
-    snaps: Vec<(Instant, InstanceList)>,
-    /// Newest revision shown, as the platform never shows an older one again.
-    shown: usize,
+    snapshots: Vec<(Instant, InstanceList)>,
+    /// Index of the newest snapshot returned; the platform never returns an older one after it.
+    newest_shown: usize,
 }
 
 impl Fleet {
     pub(crate) fn new(runners: Vec<Runner>, log: Arc<Mutex<Log>>, lag: Duration) -> Fleet {
-        let list = List { lag, snaps: vec![], shown: 0 };
+        let list = LaggedList { lag, snapshots: vec![], newest_shown: 0 };
         let list = Arc::new(Mutex::new(list));
         Fleet { runners: Arc::new(runners), log, nodes: Arc::default(), list }
     }
 
-    /// Takes snapshots for ever.
-    pub(crate) async fn snap(self) {
+    /// Records a snapshot at each interval, without end.
+    pub(crate) async fn record_snapshots(self) {
         loop {
-            self.snap_once();
-            sleep(SNAP_EVERY).await;
+            self.record_snapshot();
+            sleep(SNAPSHOT_INTERVAL).await;
         }
     }
 
-    /// The list as the platform shows it now.
+    /// Returns the newest snapshot that is at least `lag` old.
     pub(crate) fn lagged(&self) -> Option<InstanceList> {
         let mut list = self.list.lock().unwrap();
-        let upto = Instant::now().checked_sub(list.lag)?;
-        let newest = list.snaps.iter().rposition(|(at, _)| *at <= upto).unwrap_or(0);
-        list.shown = list.shown.max(newest);
-        list.snaps.get(list.shown).map(|(_, snap)| snap.clone())
+        let cutoff = Instant::now().checked_sub(list.lag)?;
+        let newest = list.snapshots.iter().rposition(|(at, _)| *at <= cutoff).unwrap_or(0);
+        list.newest_shown = list.newest_shown.max(newest);
+        list.snapshots.get(list.newest_shown).map(|(_, snapshot)| snapshot.clone())
     }
 
     pub(crate) fn set_lag(&self, lag: Duration) {
         self.list.lock().unwrap().lag = lag;
     }
 
-    /// The runner that listens at `url`.
-    pub(crate) fn at(&self, url: &str) -> Option<Runner> {
-        self.runners.iter().find(|r| r.owns(url)).cloned()
+    /// Returns the runner that listens at `url`.
+    pub(crate) fn runner_at(&self, url: &str) -> Option<Runner> {
+        self.runners.iter().find(|r| r.serves_url(url)).cloned()
     }
 
-    /// The runner with this name.
-    pub(crate) fn named(&self, name: &str) -> Option<Runner> {
+    /// Returns the runner with this name.
+    pub(crate) fn runner_named(&self, name: &str) -> Option<Runner> {
         self.runners.iter().find(|r| r.name == name).cloned()
     }
 
-    /// The runner that was last sent one of these generations.
-    pub(crate) fn writer(&self, legs: &[CompactString]) -> Option<Runner> {
+    /// Returns the runner that most recently received one of these generations.
+    pub(crate) fn last_runner_of(&self, runner_request_ids: &[CompactString]) -> Option<Runner> {
         let log = self.log.lock().unwrap();
-        let run = log.runs.iter().rfind(|r| legs.contains(&r.leg))?;
-        self.named(&run.runner)
+        let record =
+            log.generations.iter().rfind(|r| runner_request_ids.contains(&r.runner_request_id))?;
+        self.runner_named(&record.runner)
     }
 
-    fn snap_once(&self) {
+    fn record_snapshot(&self) {
         let nodes = self.nodes.lock().unwrap().values().cloned().collect::<Vec<_>>();
         let runners = self.runners.iter().filter_map(Runner::listed);
         let instances = runners.chain(nodes).collect::<Vec<_>>();
         let mut list = self.list.lock().unwrap();
-        if list.snaps.last().is_none_or(|(_, s)| s.instances != instances) {
-            let revision = list.snaps.len() as u64 + 1;
-            list.snaps.push((Instant::now(), InstanceList { revision, instances }));
+        if list.snapshots.last().is_none_or(|(_, s)| s.instances != instances) {
+            let revision = list.snapshots.len() as u64 + 1;
+            list.snapshots.push((Instant::now(), InstanceList { revision, instances }));
         }
     }
 }
--- a/crates/scenarios/src/gate.rs
+++ b/crates/scenarios/src/gate.rs
@@ -1,4 +1,4 @@
-//! Lets the tasks of a node or of a runner run, stop and go on, or never run again.
+//! Pauses, resumes or permanently stops the tasks of a simulated node or runner.
 
 use std::{
     future::poll_fn,
@@ -8,18 +8,18 @@
     task::{Context, Poll, Waker},
 };
 
-/// Whether a process runs.
+/// State of a simulated process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Life {
+pub(crate) enum ProcessState {
     #[default]
     Running,
-    /// Its tasks aren't polled; its timers fire when it wakes.
+    /// Its tasks aren't polled; timers that expire meanwhile fire when it resumes.
     Paused,
     /// Its tasks are never polled again.
     Dead,
 }
 
-/// One process' gate; clones share it.
+/// Controls whether the tasks of one process are polled; clones share the state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gate {
     state: Arc<Mutex<State>>,
@@ -27,47 +27,47 @@
 
 #[derive(Debug, Default)]
 struct State {
-    life: Life,
-    parked: Vec<Waker>,
+    process: ProcessState,
+    wakers: Vec<Waker>,
 }
 
 impl Gate {
-    /// Whether the process runs.
-    pub(crate) fn life(&self) -> Life {
-        self.state.lock().unwrap().life
+    /// Returns the state of the process.
+    pub(crate) fn process_state(&self) -> ProcessState {
+        self.state.lock().unwrap().process
     }
 
-    /// Pauses, wakes or kills.
-    pub(crate) fn set(&self, life: Life) {
+    /// Sets the state and wakes all waiting tasks, so that they check it again.
+    pub(crate) fn set(&self, process: ProcessState) {
         let mut state = self.state.lock().unwrap();
-        state.life = life;
-        let parked = mem::take(&mut state.parked);
+        state.process = process;
+        let wakers = mem::take(&mut state.wakers);
         drop(state);
-        parked.into_iter().for_each(Waker::wake);
+        wakers.into_iter().for_each(Waker::wake);
     }
 
-    /// Does the work as a task of the process.
+    /// Runs a future as a task of the process: it is polled only while the process runs.
     pub(crate) async fn run<F: Future>(self, work: F) -> F::Output {
         let mut work = pin!(work);
-        poll_fn(|cx| match self.parks(cx) {
+        poll_fn(|cx| match self.register_if_stopped(cx) {
             true => Poll::Pending,
             false => work.as_mut().poll(cx),
         })
         .await
     }
 
-    /// Waits until the process runs. Tasks that the product spawns itself stand outside of
-    /// [`Gate::run`]; they are stopped here, at every exchange with the world.
-    pub(crate) async fn pass(&self) {
+    /// Waits until the process runs. Tasks that the product spawns itself are not wrapped in
+    /// [`Gate::run`]; they are stopped here instead, at every exchange with a fake.
+    pub(crate) async fn wait_until_running(&self) {
         self.clone().run(async {}).await;
     }
 
-    fn parks(&self, cx: &Context<'_>) -> bool {
+    fn register_if_stopped(&self, cx: &Context<'_>) -> bool {
         let mut state = self.state.lock().unwrap();
-        let parks = state.life != Life::Running;
-        if parks {
-            state.parked.push(cx.waker().clone());
+        let is_stopped = state.process != ProcessState::Running;
+        if is_stopped {
+            state.wakers.push(cx.waker().clone());
         }
-        parks
+        is_stopped
     }
 }
--- a/crates/scenarios/src/language.rs
+++ b/crates/scenarios/src/language.rs
@@ -5,7 +5,7 @@
     compact_str::CompactString as Name, serde::Deserialize,
 };
 
-/// One file.
+/// Content of a scenario file.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -14,7 +14,7 @@
     pub(crate) steps: Vec<Step>,
 }
 
-/// What stands at the start.
+/// Initial setup of a scenario.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -24,13 +24,13 @@
     /// Engines, with their versions.
     pub(crate) engines: Vec<(Name, Name)>,
     pub(crate) services: Vec<Name>,
-    /// Tokens of each whole answer.
+    /// Number of tokens in each complete generation.
     pub(crate) tokens: u32,
-    /// Time that an engine takes for a token, in milliseconds.
+    /// Time per token of an engine, in milliseconds.
     pub(crate) pace_ms: u64,
     /// Whether two attempts of one request are sampled differently.
     pub(crate) differs: bool,
-    /// Age of the instance list, in milliseconds.
+    /// Lag of the instance list, in milliseconds.
     pub(crate) lag_ms: u64,
 }
 
@@ -49,42 +49,42 @@
     }
 }
 
-/// What happens next. No time passes but in `wait`, `finish` and `within`.
+/// One step of a scenario. Simulated time passes in `wait` and `finish` only.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub(crate) enum Step {
-    /// A caller asks for an answer.
+    /// A caller requests a generation.
     Request(Request),
-    /// The caller of a cut answer sends it again with what it holds.
+    /// The caller of an interrupted generation resumes it after the tokens that it has received.
     Resume(Resume),
-    /// A caller calls a plain service.
+    /// A caller sends a call to a plain service.
     Call(Call),
     /// A caller closes its connection.
     HangUp(Name),
     /// An operator applies a catalogue.
     Apply(Apply),
-    /// Callers come one after the other.
+    /// Callers send requests at a fixed interval.
     Load(Load),
-    /// An operator starts a move of the engines' version.
+    /// An operator starts moving the engines to another version.
     Move(StartMove),
-    /// An operator takes the engines' move back.
+    /// An operator undoes the move of the engines.
     Undo { name: Name, node: Name },
-    /// Something happens to runners.
-    Runner { who: Name, does: RunnerAct },
-    /// Something happens to a node.
-    Node { who: Name, does: NodeAct },
-    /// Something happens to the table.
-    Table(TableAct),
-    /// These reach neither the others nor the platform; none heals.
+    /// Applies an action to one or more runners.
+    Runner { who: Name, does: RunnerAction },
+    /// Applies an action to a node.
+    Node { who: Name, does: NodeAction },
+    /// Applies an action to the table.
+    Table(TableAction),
+    /// Partitions these instances from all others and from the platform; an empty list ends the partition.
     Apart(Vec<Name>),
-    /// The instance list becomes this old, in milliseconds.
+    /// Sets the lag of the instance list, in milliseconds.
     ListLag(u64),
-    /// Time passes, in milliseconds.
+    /// Advances the clock by this many milliseconds.
     Wait(u64),
-    /// Time passes until these have been answered, or a minute is over.
+    /// Advances the clock until these callers and operators have a result; fails after a minute.
     Finish(Vec<Name>),
-    /// This holds now.
+    /// Checks that a condition holds now.
     Expect(Expect),
 }
 
@@ -98,7 +98,7 @@
     pub(crate) prompt: Name,
     #[serde(default = "account")]
     pub(crate) account: Name,
-    /// Answered in one piece.
+    /// Whether the response is sent whole instead of streamed.
     #[serde(default)]
     pub(crate) whole: bool,
 }
@@ -109,7 +109,7 @@
 pub(crate) struct Resume {
     pub(crate) name: Name,
     pub(crate) node: Name,
-    /// Tokens at the end that the caller has lost.
+    /// Number of tokens at the end that the caller has lost.
     #[serde(default)]
     pub(crate) forget: usize,
 }
@@ -120,7 +120,7 @@
 pub(crate) struct Call {
     pub(crate) name: Name,
     pub(crate) node: Name,
-    /// Idempotency key; without it the call is a look-up that may be repeated.
+    /// Idempotency key; a call without one is a read that may be retried.
     pub(crate) key: Option<Name>,
     #[serde(default = "body")]
     pub(crate) body: Name,
@@ -134,13 +134,13 @@
 pub(crate) struct Apply {
     pub(crate) name: Name,
     pub(crate) node: Name,
-    /// Revision that the operator has edited.
+    /// Revision that the operator's change is based on.
     pub(crate) expect: u64,
-    /// Version of the engines' entry.
+    /// New version of the engines' entry.
     pub(crate) version: Name,
 }
 
-/// A caller every so often, at the nodes in turn.
+/// Requests sent at a fixed interval, to the running nodes in turn.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -150,7 +150,7 @@
     pub(crate) for_ms: u64,
     #[serde(default = "account")]
     pub(crate) account: Name,
-    /// Least length of each prompt.
+    /// Minimum length of each prompt, in bytes.
     #[serde(default)]
     pub(crate) bytes: usize,
 }
@@ -162,33 +162,33 @@
     pub(crate) name: Name,
     pub(crate) node: Name,
     pub(crate) to: Name,
-    /// Deadline, in seconds from now.
+    /// Deadline of the move, in seconds from now.
     pub(crate) by: u64,
     #[serde(default)]
     pub(crate) force: bool,
 }
 
-/// What a runner does. Those with a number do it once, at that token; the whole answer's length
-/// stands for its finish mark, one more for `[DONE]`.
+/// Action or fault of a runner. A variant named `...At` takes effect once, at the token with that
+/// index: an index equal to the answer's length is the finish mark, one more is `[DONE]`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub(crate) enum RunnerAct {
+pub(crate) enum RunnerAction {
     Die,
-    /// Starts anew, without faults.
+    /// Restarts without faults.
     Start,
     Pause,
     Wake,
     Leave,
-    /// Time for a token or a call from now on, in milliseconds.
+    /// Sets the time per token or call, in milliseconds.
     Slow(u64),
-    /// Time until the first token from now on, in milliseconds.
+    /// Sets the time to the first token, in milliseconds.
     First(u64),
-    /// Fails each generation whose prompt has at least so many bytes.
+    /// Fails each generation whose prompt has at least this many bytes.
     Reject(usize),
-    /// Fails each generation that would be one of more than so many at once.
+    /// Fails each generation that starts while this many are already running.
     RejectOver(u32),
-    /// Writes tokens of older attempts and of another generation between its own.
+    /// Sends, before each of its tokens, a token of another text that is marked as of the attempt before.
     Cross,
     DieAt(u32),
     CutAt(u32),
@@ -197,28 +197,28 @@
     RepeatAt(u32),
     /// Ends with `[DONE]` and no finish mark.
     EndAt(u32),
-    /// Says that the answer is whole.
+    /// Sends the finish mark too early, as if the answer were complete.
     FinishAt(u32),
-    /// The next call is read and not run.
+    /// The next call is received but not run.
     CloseBefore,
-    /// The next call is run and not answered.
+    /// The next call is run but gets no response.
     CloseAfter,
-    /// The next call is run, and the runner dies.
+    /// The next call is run, then the runner dies.
     DieAfter,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub(crate) enum NodeAct {
+pub(crate) enum NodeAction {
     Die,
-    /// Starts anew: it remembers nothing.
+    /// Restarts without any state.
     Start,
     Pause,
     Wake,
-    /// Is told to leave, as by a signal, and exits when its last request has ended.
+    /// Starts a graceful shutdown, as on a signal; the node exits when its last request has ended.
     Leave,
-    /// Gets no connection to the table any more.
+    /// Loses its connection to the table.
     CutOff,
     Rejoin,
 }
@@ -226,16 +226,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub(crate) enum TableAct {
+pub(crate) enum TableAction {
     Up,
     Down,
-    /// Time for an exchange, in milliseconds.
+    /// Adds this time to each exchange, in milliseconds.
     Slow(u64),
-    /// The replies of this many next commits are lost after their effect.
+    /// The next commits, this many, take effect but their replies are lost.
     LoseReplies(u32),
-    /// This many next commits are lost before their effect.
+    /// The next commits, this many, are lost before they take effect.
     LoseCommits(u32),
-    /// Reads show the rows of this moment until `up`.
+    /// Reads return the rows as they are now, until `up`.
     StaleReads,
 }
 
@@ -243,44 +243,44 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub(crate) enum Expect {
-    /// These hold the whole answer, or the service's answer.
+    /// These callers received the complete generation or the service's response.
     Answered(Vec<Name>),
-    /// These haven't been answered.
+    /// These callers are still waiting for the end of their response.
     Waiting(Vec<Name>),
-    /// The answer ended with a problem.
+    /// The response ended with this problem.
     Problem(Problem),
-    /// The answer was cut without a word.
+    /// The connection closed without an error message.
     Cut(Name),
-    /// These two hold the same answer.
+    /// These two callers received the same text.
     Same(Name, Name),
-    /// The caller holds at least so many tokens.
+    /// The caller received at least this many tokens.
     Holds(Name, usize),
-    /// The keyed call was run so many times.
+    /// The call with this idempotency key was run this many times.
     Executed { key: Name, times: usize },
-    /// Sends to engines for this request so far.
+    /// Number of generations sent to engines for this request so far.
     Sends { name: Name, times: usize },
-    /// What the operator was told.
+    /// Result that the operator received.
     #[serde(alias = "told")]
-    Applied { name: Name, told: Told },
-    /// Nodes that a node names to callers, in the order of their names.
+    Applied { name: Name, told: OperatorReply },
+    /// Nodes that a node returns to callers as addresses, ordered by name.
     Addresses(Name, Vec<Name>),
     /// The node has left and exited.
     Gone(Name),
-    /// How a node sees the engines' move.
+    /// State of the engines' move, as a node sees it.
     Move(Moved),
     /// The node holds the lease of the engines' move.
     Holder(Name),
-    /// Of two operators who start moves one was told that it has begun, and one of the other's.
+    /// Of two operators who start moves, one got `started` and the other got `other`.
     Raced(Name, Name),
-    /// Version of the engines in the catalogue in force at a node.
+    /// Version of the engines in a node's current catalogue.
     Version(Name, Name),
-    /// Part of all new requests that went to a version, in percent.
+    /// Share of all new requests that were sent to a version, at most this many percent.
     Part { version: Name, most: f64 },
-    /// No new request went to the version later than so long after the first verdict, in milliseconds.
+    /// No new request was sent to the version later than this many milliseconds after the first verdict.
     Nothing { version: Name, after_ms: u64 },
-    /// Callers of a load who didn't get a whole answer so far.
+    /// Number of callers of a load whose response ended incomplete so far, at most this many.
     Failed { load: Name, most: usize },
-    /// Catalogue in force at a node; 0 is none.
+    /// Revision of a node's current catalogue; 0 is none.
     Revision(Name, u64),
 }
 
@@ -290,9 +290,9 @@
 pub(crate) struct Moved {
     pub(crate) node: Name,
     pub(crate) is: Phase,
-    /// Why it was taken back.
+    /// Cause for which the move was rolled back.
     pub(crate) cause: Option<Cause>,
-    /// Route on which that showed; empty for all.
+    /// Route on which the cause was detected; empty for all routes.
     pub(crate) route: Option<Name>,
 }
 
@@ -312,32 +312,32 @@
 pub(crate) struct Problem {
     pub(crate) name: Name,
     pub(crate) run: Run,
-    /// Last part of its type.
+    /// Suffix of the problem type.
     pub(crate) kind: Name,
     pub(crate) retry: bool,
-    /// Longest time since the caller last sent or heard something, in milliseconds.
+    /// Maximum time since the caller last sent a request or received tokens, in milliseconds.
     pub(crate) within_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Told {
+pub(crate) enum OperatorReply {
     Applied,
     Conflict,
     Down,
     Unknown,
-    /// The move has begun.
+    /// The move has started.
     Started,
-    /// It was taken back.
+    /// The move was undone.
     Undone,
-    /// Another move is under way.
+    /// Another move is in progress.
     Other,
-    /// No move is under way.
+    /// No move is in progress.
     Over,
     /// The deadline is too close.
     Late,
-    /// There is nothing to move.
+    /// The entry does not exist, or already has this version.
     Refused,
 }
 
--- a/crates/scenarios/src/load.rs
+++ b/crates/scenarios/src/load.rs
@@ -1,4 +1,4 @@
-//! Steady loads: callers who come one after the other for some time.
+//! Steady loads: requests sent at a fixed interval for a limited time.
 
 use {
     crate::{
@@ -12,27 +12,27 @@
     tokio::time::Instant,
 };
 
-/// How long an answered caller of a load is still held to the invariants.
-const KEPT: Duration = Duration::from_secs(1);
+/// Time for which the invariants are still checked for a caller whose response has ended.
+const CHECKED_AFTER_END: Duration = Duration::from_secs(1);
 
-/// A load under way or over.
-pub(crate) struct Under {
+/// A load that is running or has ended.
+pub(crate) struct ActiveLoad {
     load: Load,
     next: Instant,
     until: Instant,
     sent: usize,
-    /// Callers who were answered otherwise than whole.
+    /// Number of callers whose response ended incomplete.
     pub(crate) failed: usize,
 }
 
-impl Under {
-    pub(crate) fn new(load: &Load) -> Under {
+impl ActiveLoad {
+    pub(crate) fn new(load: &Load) -> ActiveLoad {
         let (load, next) = (load.clone(), Instant::now());
         let until = next + Duration::from_millis(load.for_ms);
-        Under { load, next, until, sent: 0, failed: 0 }
+        ActiveLoad { load, next, until, sent: 0, failed: 0 }
     }
 
-    fn due(&self) -> Option<Instant> {
+    fn next_due(&self) -> Option<Instant> {
         Some(self.next).filter(|n| *n < self.until)
     }
 
@@ -51,37 +51,40 @@
 }
 
 impl World {
-    /// When the next caller of a load comes.
-    pub(crate) fn due(&self) -> Option<Instant> {
-        self.loads.values().filter_map(Under::due).min()
+    /// Returns the time of the next request of any load.
+    pub(crate) fn next_due(&self) -> Option<Instant> {
+        self.loads.values().filter_map(ActiveLoad::next_due).min()
     }
 
-    /// Lets the callers come whose time it is, to any node that runs.
-    pub(crate) fn come(&mut self) -> Result {
-        let nodes = self.nodes.values().filter(|n| moves::runs(n)).map(|n| n.name.clone());
+    /// Sends the requests that are due, to the running nodes.
+    pub(crate) fn send_due_requests(&mut self) -> Result {
+        let nodes = self.nodes.values().filter(|n| moves::is_running(n)).map(|n| n.name.clone());
         let nodes = nodes.collect::<Vec<_>>();
         let now = Instant::now();
-        let due = |u: &&mut Under| !nodes.is_empty() && u.due().is_some_and(|d| d <= now);
-        let requests = self.loads.values_mut().filter(due).map(|u| u.request(&nodes));
+        let is_due =
+            |u: &&mut ActiveLoad| !nodes.is_empty() && u.next_due().is_some_and(|d| d <= now);
+        let requests = self.loads.values_mut().filter(is_due).map(|u| u.request(&nodes));
         let requests = requests.map(Step::Request).collect::<Vec<_>>();
-        requests.iter().try_for_each(|r| self.act(r))
+        requests.iter().try_for_each(|r| self.apply_step(r))
     }
 
-    /// Forgets callers of loads who were answered and have been checked.
-    pub(crate) fn forget(&mut self) {
-        let done = |end: &Option<End>, ended: Instant| end.is_some() && ended.elapsed() > KEPT;
+    /// Removes the callers of loads whose response ended long enough ago, and counts the failed ones.
+    pub(crate) fn remove_finished_callers(&mut self) {
+        let done = |end: &Option<End>, ended: Instant| {
+            end.is_some() && ended.elapsed() > CHECKED_AFTER_END
+        };
         let over = self.callers.iter().filter(|(name, caller)| {
             let caller = caller.lock().unwrap();
-            name.contains('/') && done(&caller.end, caller.ended)
+            name.contains('/') && done(&caller.end, caller.ended_at)
         });
         let over = over.map(|(name, _)| name.clone()).collect::<Vec<_>>();
         for name in over {
-            let caller = self.callers.remove(&name).expect("just found");
+            let caller = self.callers.remove(&name).expect("the caller is in the map");
             let load = name.split('/').next().unwrap_or_default();
             if caller.lock().unwrap().end != Some(End::Whole)
-                && let Some(under) = self.loads.get_mut(load)
+                && let Some(active_load) = self.loads.get_mut(load)
             {
-                under.failed += 1;
+                active_load.failed += 1;
             }
         }
     }
--- a/crates/scenarios/src/moves.rs
+++ b/crates/scenarios/src/moves.rs
@@ -1,13 +1,13 @@
-//! Version moves: what operators do, how each node saw them stand, and what must hold.
+//! Version moves: the operators' requests, their status as each node saw it, and their invariants.
 
 use {
     crate::{
-        caller::ENGINE,
-        gate::Life,
-        language::{StartMove, Told},
+        caller::ENGINE_ENTRY,
+        gate::ProcessState,
+        language::{OperatorReply, StartMove},
         node::Node,
-        operator::Answer,
-        runner::{Log, Run},
+        operator::SharedReply,
+        runner::{GenerationRecord, Log},
         world::{Result, World},
     },
     bilberryfront::control::{Control, moves},
@@ -21,202 +21,224 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Wall-clock time at the start of every scenario, in milliseconds.
-const WALL: u64 = 1_800_000_000_000;
-/// Time between two looks at how a node sees the moves.
-const LOOK: Duration = Duration::from_millis(50);
-/// Time in which a node that knows a verdict acts on it: a tick of its mover, and one way.
-const ACTS: Duration = Duration::from_millis(60);
-/// Time after the first verdict from which no node sends the version anything. It is more than the
-/// 2.5 s for which a node that hears nothing holds on to its share, so it has no exception.
-const EVERYWHERE: Duration = Duration::from_secs(3);
-
-/// How a node saw the engines' move for some time.
+/// Wall-clock time at the start of every scenario, in milliseconds since the Unix epoch.
+const START_UNIX_MS: u64 = 1_800_000_000_000;
+/// Interval at which the status of the moves is read from each node.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+/// Time in which a node that knows a verdict acts on it: a tick of its mover, and one network latency.
+const VERDICT_REACTION_TIME: Duration = Duration::from_millis(60);
+/// Time after the first verdict from which no node may send requests to the version. It is longer than
+/// the 2.5 s for which a node that receives no messages keeps its share, so it holds for every node.
+const VERDICT_PROPAGATION_TIME: Duration = Duration::from_secs(3);
+
+/// Period in which a node reported the same status of the engines' move.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct Observation {
     pub(crate) node: CompactString,
-    life: u64,
+    incarnation: u64,
     from: Instant,
     until: Instant,
     pub(crate) status: Status,
 }
 
-impl Seen {
+impl Observation {
     fn id(&self) -> MoveId {
         self.status.moved.id
     }
 
-    fn goes_on(&self, life: u64, status: &Status) -> bool {
+    fn is_same_state(&self, incarnation: u64, status: &Status) -> bool {
         let then = &self.status;
-        self.life == life
+        self.incarnation == incarnation
             && (then.moved.id, &then.standing, then.here)
                 == (status.moved.id, &status.standing, status.here)
     }
 }
 
-/// All that was seen, in order; clones share it.
-pub(crate) type History = Arc<Mutex<Vec<Seen>>>;
+/// All observations, ordered by their start; clones share the list.
+pub(crate) type History = Arc<Mutex<Vec<Observation>>>;
 
-/// The wall clock, which goes with the paused one.
+/// Wall clock that advances with Tokio's paused clock.
 #[derive(Clone, Copy)]
-pub(crate) struct Wall(Instant);
+pub(crate) struct WallClock(Instant);
 
-impl Wall {
-    pub(crate) fn new() -> Wall {
-        Wall(Instant::now())
+impl WallClock {
+    pub(crate) fn new() -> WallClock {
+        WallClock(Instant::now())
     }
 
-    /// Milliseconds since the Unix epoch.
+    /// Returns the milliseconds since the Unix epoch.
     pub(crate) fn now(self) -> u64 {
-        WALL + self.0.elapsed().as_millis() as u64
+        START_UNIX_MS + self.0.elapsed().as_millis() as u64
     }
 }
 
-/// Looks for ever at how a node sees the engines' move.
-pub(crate) async fn watch(control: Control, node: CompactString, life: u64, history: History) {
+/// Records the status of the engines' move at a node at each interval, without end.
+pub(crate) async fn record_statuses(
+    control: Control,
+    node: CompactString,
+    incarnation: u64,
+    history: History,
+) {
     loop {
         let list = control.moves().list().await;
         let now = Instant::now();
-        if let Some(status) = list.into_iter().find(|s| s.moved.entry == ENGINE) {
+        if let Some(status) = list.into_iter().find(|s| s.moved.entry == ENGINE_ENTRY) {
             let mut history = history.lock().unwrap();
             match history.iter_mut().rfind(|s| s.node == node) {
-                Some(last) if last.goes_on(life, &status) => {
+                Some(last) if last.is_same_state(incarnation, &status) => {
                     (last.until, last.status) = (now, status);
                 }
                 _ => {
                     let node = node.clone();
-                    history.push(Seen { node, life, from: now, until: now, status });
+                    history.push(Observation { node, incarnation, from: now, until: now, status });
                 }
             }
         }
-        sleep(LOOK).await;
+        sleep(SAMPLE_INTERVAL).await;
     }
 }
 
-/// Starts a move at a node, as the operators' face does.
-pub(crate) fn start(node: &mut Node, wanted: &StartMove) -> Answer {
+/// Starts a move at a node, as the operators' endpoint does.
+pub(crate) fn start(node: &mut Node, wanted: &StartMove) -> SharedReply {
     let start = Start {
-        entry: ENGINE.into(),
+        entry: ENGINE_ENTRY.into(),
         to: wanted.to.clone(),
-        by: node.wall.now() + wanted.by * 1_000,
+        by: node.wall_clock.now() + wanted.by * 1_000,
         weights: Weights::default(),
         force: wanted.force,
     };
     let moves = node.control.moves().clone();
-    answer(node, async move { moves.start(start).await }, Told::Started)
+    run_operation(node, async move { moves.start(start).await }, OperatorReply::Started)
 }
 
-/// Takes the engines' move back at a node.
-pub(crate) fn undo(node: &mut Node) -> Answer {
+/// Undoes the engines' move at a node.
+pub(crate) fn undo(node: &mut Node) -> SharedReply {
     let moves = node.control.moves().clone();
-    answer(node, async move { moves.undo(ENGINE.into()).await }, Told::Undone)
+    run_operation(node, async move { moves.undo(ENGINE_ENTRY.into()).await }, OperatorReply::Undone)
 }
 
-fn answer(
+fn run_operation(
     node: &mut Node,
     work: impl Future<Output = moves::Result<MoveId>> + Send + 'static,
-    done: Told,
-) -> Answer {
-    let told = Answer::default();
-    let answer = told.clone();
+    done: OperatorReply,
+) -> SharedReply {
+    let reply = SharedReply::default();
+    let shared_reply = reply.clone();
     node.spawn(async move {
-        let heard = match work.await {
+        let outcome = match work.await {
             Ok(_) => done,
-            Err(MoveError::Other(_)) => Told::Other,
-            Err(MoveError::Over) => Told::Over,
-            Err(MoveError::Late(_)) => Told::Late,
-            Err(MoveError::NoEntry(_) | MoveError::Same(_)) => Told::Refused,
-            Err(MoveError::Table) => Told::Unknown,
+            Err(MoveError::Other(_)) => OperatorReply::Other,
+            Err(MoveError::Over) => OperatorReply::Over,
+            Err(MoveError::Late(_)) => OperatorReply::Late,
+            Err(MoveError::NoEntry(_) | MoveError::Same(_)) => OperatorReply::Refused,
+            Err(MoveError::Table) => OperatorReply::Unknown,
         };
-        *answer.lock().unwrap() = Some((heard, 0));
+        *shared_reply.lock().unwrap() = Some((outcome, 0));
     });
-    told
+    reply
 }
 
-/// How a node saw the engines' move last.
-pub(crate) fn latest(world: &World, node: &str) -> Result<Status> {
+/// Returns the latest status of the engines' move at a node.
+pub(crate) fn latest_status(world: &World, node: &str) -> Result<Status> {
     let history = world.history.lock().unwrap();
     let seen = history.iter().rfind(|s| s.node == node);
-    seen.map(|s| s.status.clone()).ok_or_else(|| format!("{node} knows of no move"))
+    seen.map(|s| s.status.clone()).ok_or_else(|| format!("{node} knows of no move of the engines"))
 }
 
-/// Part of the new requests that went to a version, in percent.
-pub(crate) fn part(log: &Log, version: &str) -> f64 {
-    let new = log.runs.iter().filter(|r| is_new(r));
+/// Returns the share of new requests that were sent to a version.
+pub(crate) fn request_share_percent(log: &Log, version: &str) -> f64 {
+    let new = log.generations.iter().filter(|r| is_new(r));
     let (there, all) = new.fold((0, 0), |(t, a), r| (t + u32::from(r.version == version), a + 1));
     100.0 * f64::from(there) / f64::from(all.max(1))
 }
 
-/// New requests sent to a version later than so long after the first verdict against it.
-pub(crate) fn late(world: &World, log: &Log, version: &str, after: Duration) -> Result<usize> {
+/// Counts the new requests that were sent to a version more than `after` later than the first verdict
+/// against it.
+pub(crate) fn count_late_requests(
+    world: &World,
+    log: &Log,
+    version: &str,
+    after: Duration,
+) -> Result<usize> {
     let history = world.history.lock().unwrap();
-    let judged = |s: &&Seen| s.status.standing.verdict().is_some() && s.status.moved.to == version;
+    let judged =
+        |s: &&Observation| s.status.standing.verdict().is_some() && s.status.moved.to == version;
     let first = history.iter().find(judged).map(|s| s.from);
     let first = first.ok_or_else(|| format!("there is no verdict against {version}"))?;
-    let late = |r: &&Run| is_new(r) && r.version == version && r.begun > first + after;
-    Ok(log.runs.iter().filter(late).count())
+    let is_late =
+        |r: &&GenerationRecord| is_new(r) && r.version == version && r.started_at > first + after;
+    Ok(log.generations.iter().filter(is_late).count())
 }
 
-/// What must always hold of moves.
+/// Checks the invariants of moves.
 pub(crate) fn check(world: &World, log: &Log) -> Result {
     let history = world.history.lock().unwrap();
     let mut known = BTreeMap::new();
     let mut first = BTreeMap::new();
     for seen in history.iter() {
-        let who = (&seen.node, seen.life, seen.id());
+        let who = (&seen.node, seen.incarnation, seen.id());
         match seen.status.standing {
             Standing::TakenBack(_) => {
                 known.entry(who).or_insert(seen.from);
                 first.entry(seen.id()).or_insert(seen.from);
             }
             ref other if known.contains_key(&who) => {
-                return Err(format!("{} went from taken back to {other:?}", seen.node));
+                return Err(format!("{} saw a move go from taken back to {other:?}", seen.node));
             }
             _ => {}
         }
-        share(seen, known.get(&who), first.get(&seen.id()))?;
+        check_share(seen, known.get(&who), first.get(&seen.id()))?;
     }
     let taken_back = history.iter().filter(|s| first.contains_key(&s.id()));
     for seen in taken_back.filter(|s| s.status.standing.verdict().is_some()) {
         let end = next_start(&history, seen);
-        let heard = known[&(&seen.node, seen.life, seen.id())];
+        let known_at = known[&(&seen.node, seen.incarnation, seen.id())];
         let to = &seen.status.moved.to;
-        let wrong = |r: &&Run| {
-            let there = r.node == seen.node && r.begun > heard + ACTS;
-            let anywhere = r.begun > first[&seen.id()] + EVERYWHERE;
-            is_new(r) && r.version == *to && end.is_none_or(|e| r.begun < e) && (there || anywhere)
+        let wrong = |r: &&GenerationRecord| {
+            let there = r.node == seen.node && r.started_at > known_at + VERDICT_REACTION_TIME;
+            let anywhere = r.started_at > first[&seen.id()] + VERDICT_PROPAGATION_TIME;
+            is_new(r)
+                && r.version == *to
+                && end.is_none_or(|e| r.started_at < e)
+                && (there || anywhere)
         };
-        if let Some(run) = log.runs.iter().find(wrong) {
-            let after = run.begun - first[&seen.id()];
-            return Err(format!("{} sent {to} a request {after:?} after the verdict", run.node));
+        if let Some(run) = log.generations.iter().find(wrong) {
+            let after = run.started_at - first[&seen.id()];
+            return Err(format!(
+                "{} sent a request to {to} {after:?} after the first verdict",
+                run.node
+            ));
         }
     }
     Ok(())
 }
 
-/// A share never rises again after the verdict, and is nowhere left [`EVERYWHERE`] after it.
-fn share(seen: &Seen, known: Option<&Instant>, first: Option<&Instant>) -> Result {
+/// Checks that a node which knows the verdict gives the version no share, and that no node does
+/// [`VERDICT_PROPAGATION_TIME`] after the first verdict.
+fn check_share(seen: &Observation, known: Option<&Instant>, first: Option<&Instant>) -> Result {
     let here = seen.status.here;
-    // Asked between the verdict and the mover's tick, a node may still show what it published.
-    let late = known.is_some() || first.is_some_and(|f| seen.until > *f + EVERYWHERE);
-    if here > Share::NONE && late {
-        return Err(format!("{} gives {here:?} to a version that was taken back", seen.node));
+    // Between the verdict and the mover's next tick, a node may still return the share it published.
+    let is_late =
+        known.is_some() || first.is_some_and(|f| seen.until > *f + VERDICT_PROPAGATION_TIME);
+    if here > Share::NONE && is_late {
+        return Err(format!("{} gives share {here:?} to a version that was taken back", seen.node));
     }
     Ok(())
 }
 
-/// When a later move to the same version was first seen.
-fn next_start(history: &[Seen], judged: &Seen) -> Option<Instant> {
-    let another = |s: &&Seen| s.id() != judged.id() && s.status.moved.to == judged.status.moved.to;
+/// Returns when a later move to the same version was first observed.
+fn next_start(history: &[Observation], judged: &Observation) -> Option<Instant> {
+    let another =
+        |s: &&Observation| s.id() != judged.id() && s.status.moved.to == judged.status.moved.to;
     history.iter().filter(another).map(|s| s.from).find(|from| *from > judged.from)
 }
 
-/// Whether a request that had no token yet was sent.
-fn is_new(run: &Run) -> bool {
-    run.index == 0
+/// Returns whether the generation was sent before the request had any token.
+fn is_new(record: &GenerationRecord) -> bool {
+    record.index == 0
 }
 
-/// Whether the node takes requests.
-pub(crate) fn runs(node: &Node) -> bool {
-    node.gate.life() == Life::Running
+/// Returns whether the node's process is running, so that it can accept requests.
+pub(crate) fn is_running(node: &Node) -> bool {
+    node.gate.process_state() == ProcessState::Running
 }
--- a/crates/scenarios/src/net.rs
+++ b/crates/scenarios/src/net.rs
@@ -1,7 +1,7 @@
-//! Who reaches whom, and messages between nodes.
+//! Simulated network: reachability between instances, and messages between nodes.
 
 use {
-    crate::gate::{Gate, Life},
+    crate::gate::{Gate, ProcessState},
     bilberryfront::peer::{Peers, Received, Result},
     bilberryfront_decide::member::{PeerMessage, Target},
     compact_str::CompactString,
@@ -13,16 +13,16 @@
     tokio::{sync::mpsc, time::sleep},
 };
 
-/// The platform, as a place that can be out of reach.
+/// Name of the platform in checks of reachability.
 pub(crate) const PLATFORM: &str = "platform";
-/// Time of one way.
-pub(crate) const WAY: Duration = Duration::from_millis(1);
-/// Time after which a connection that nothing comes through is given up.
-pub(crate) const IDLE: Duration = Duration::from_secs(1);
-/// Messages that wait for a node.
-const WAITING: usize = 1_024;
+/// Latency of a message in one direction.
+pub(crate) const ONE_WAY_LATENCY: Duration = Duration::from_millis(1);
+/// Time after which an unresponsive connection is closed.
+pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of messages queued for a node.
+const INBOX_CAPACITY: usize = 1_024;
 
-/// The network; clones share it.
+/// The network; clones share the state.
 #[derive(Clone, Default)]
 pub(crate) struct Net {
     state: Arc<Mutex<State>>,
@@ -30,44 +30,49 @@
 
 #[derive(Default)]
 struct State {
-    /// Those on the other side of a partition, without the platform.
-    apart: BTreeSet<CompactString>,
+    /// Instances on the side of the partition that does not include the platform.
+    isolated: BTreeSet<CompactString>,
     nodes: BTreeMap<CompactString, (Gate, mpsc::Sender<Received>)>,
 }
 
-/// One node's peer face.
+/// Peer endpoint of one node.
 #[derive(Clone)]
-pub(crate) struct Face {
+pub(crate) struct PeerEndpoint {
     net: Net,
     name: CompactString,
     gate: Gate,
 }
 
 impl Net {
-    /// Cuts these off from all others; none heals.
-    pub(crate) fn part(&self, apart: &[CompactString]) {
-        self.state.lock().unwrap().apart = apart.iter().cloned().collect();
+    /// Partitions these instances from all others; an empty list ends the partition.
+    pub(crate) fn isolate(&self, isolated: &[CompactString]) {
+        self.state.lock().unwrap().isolated = isolated.iter().cloned().collect();
     }
 
-    /// Whether one reaches the other.
-    pub(crate) fn joins(&self, one: &str, two: &str) -> bool {
-        let apart = &self.state.lock().unwrap().apart;
-        apart.contains(one) == apart.contains(two)
+    /// Returns whether the two instances can reach each other.
+    pub(crate) fn is_connected(&self, one: &str, two: &str) -> bool {
+        let isolated = &self.state.lock().unwrap().isolated;
+        isolated.contains(one) == isolated.contains(two)
     }
 
-    /// Waits until one reaches the other: what was sent meanwhile is sent again then.
-    pub(crate) async fn joined(&self, one: &str, two: &str) {
-        while !self.joins(one, two) {
-            sleep(WAY * 10).await;
+    /// Waits until the two can reach each other. Data sent during a partition is delivered afterwards, as
+    /// by a retransmission.
+    pub(crate) async fn wait_until_connected(&self, one: &str, two: &str) {
+        while !self.is_connected(one, two) {
+            sleep(ONE_WAY_LATENCY * 10).await;
         }
     }
 
-    /// The peer face of a node that starts.
-    pub(crate) fn face(&self, name: &str, gate: &Gate) -> (Face, mpsc::Receiver<Received>) {
-        let (sender, receiver) = mpsc::channel(WAITING);
+    /// Registers a starting node, and returns its peer endpoint and inbox.
+    pub(crate) fn peer_endpoint(
+        &self,
+        name: &str,
+        gate: &Gate,
+    ) -> (PeerEndpoint, mpsc::Receiver<Received>) {
+        let (sender, receiver) = mpsc::channel(INBOX_CAPACITY);
         let node = (gate.clone(), sender);
         self.state.lock().unwrap().nodes.insert(name.into(), node);
-        (Face { net: self.clone(), name: name.into(), gate: gate.clone() }, receiver)
+        (PeerEndpoint { net: self.clone(), name: name.into(), gate: gate.clone() }, receiver)
     }
 
     fn node(&self, name: &str) -> Option<(Gate, mpsc::Sender<Received>)> {
@@ -75,15 +80,15 @@
     }
 
     async fn deliver(self, from: CompactString, to: CompactString, message: PeerMessage) {
-        sleep(WAY).await;
-        let alive = self.node(&to).filter(|(gate, _)| gate.life() != Life::Dead);
-        if let Some((_, inbox)) = alive.filter(|_| self.joins(&from, &to)) {
-            // A full inbox drops messages, as the peer face does.
+        sleep(ONE_WAY_LATENCY).await;
+        let alive = self.node(&to).filter(|(gate, _)| gate.process_state() != ProcessState::Dead);
+        if let Some((_, inbox)) = alive.filter(|_| self.is_connected(&from, &to)) {
+            // A full inbox drops the message, as the real peer endpoint does.
             _ = inbox.try_send(Received::Message { from, message });
             return;
         }
-        if !self.joins(&from, &to) {
-            sleep(IDLE).await;
+        if !self.is_connected(&from, &to) {
+            sleep(IDLE_TIMEOUT).await;
         }
         if let Some((_, inbox)) = self.node(&from) {
             _ = inbox.try_send(Received::Broken(to));
@@ -91,7 +96,7 @@
     }
 }
 
-impl Peers for Face {
+impl Peers for PeerEndpoint {
     fn send(&self, to: &[Target], message: &PeerMessage) -> Result<()> {
         for target in to {
             let (from, to) = (self.name.clone(), target.name.clone());
@@ -101,7 +106,7 @@
     }
 
     async fn close(&self) {
-        self.gate.pass().await;
-        sleep(WAY).await;
+        self.gate.wait_until_running().await;
+        sleep(ONE_WAY_LATENCY).await;
     }
 }
--- a/crates/scenarios/src/node.rs
+++ b/crates/scenarios/src/node.rs
@@ -1,14 +1,14 @@
-//! One node: the product's own control task, pollers and traffic code between the fakes.
+//! One node: the product's own control task, pollers and traffic code, connected to the fakes.
 
 use {
     crate::{
         fleet::Fleet,
-        gate::{Gate, Life},
-        language::NodeAct,
-        moves::{self, History, Wall},
+        gate::{Gate, ProcessState},
+        language::NodeAction,
+        moves::{self, History, WallClock},
         net::{Net, PLATFORM},
-        table::{Link, Service},
-        wire::Wire,
+        table::{TableLink, TableService},
+        wire::RunnerClient,
     },
     bilberryfront::{
         catalogue::store::Store,
@@ -42,60 +42,72 @@
     },
 };
 
-/// Time between two reads of the instance list.
-const LIST_EVERY: Duration = Duration::from_millis(500);
-/// Time between two rounds of load reports.
-const LOAD_EVERY: Duration = Duration::from_millis(200);
-/// How long callers keep an address answer.
-const TTL: Duration = Duration::from_secs(3);
+/// Interval between two reads of the instance list.
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two rounds of load reports.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for which callers cache the list of addresses.
+const ADDRESS_TTL: Duration = Duration::from_secs(3);
 
-/// What all nodes share.
+/// Fakes and records that all nodes share.
 #[derive(Clone)]
-pub(crate) struct Site {
+pub(crate) struct Environment {
     pub(crate) fleet: Fleet,
-    pub(crate) service: Service,
+    pub(crate) service: TableService,
     pub(crate) net: Net,
-    pub(crate) wall: Wall,
+    pub(crate) wall_clock: WallClock,
     pub(crate) history: History,
 }
 
-/// A node of one incarnation.
+/// One incarnation of a node.
 pub(crate) struct Node {
     pub(crate) name: CompactString,
     pub(crate) gate: Gate,
     pub(crate) control: Control,
-    pub(crate) services: Services<Link, Wire>,
-    pub(crate) link: Link,
-    pub(crate) wire: Wire,
+    pub(crate) services: Services<TableLink, RunnerClient>,
+    pub(crate) link: TableLink,
+    pub(crate) runner_client: RunnerClient,
     pub(crate) leaving: Leaving,
-    pub(crate) wall: Wall,
+    pub(crate) wall_clock: WallClock,
     pub(crate) tasks: Vec<AbortHandle>,
 }
 
 impl Node {
-    /// Starts a node. It remembers nothing of an earlier incarnation.
-    pub(crate) fn start(name: &str, seed: u64, site: &Site) -> Node {
+    /// Starts a node, without any state of an earlier incarnation.
+    pub(crate) fn start(name: &str, seed: u64, environment: &Environment) -> Node {
         let gate = Gate::default();
         let published = Published::default();
         let (control, receiver) = Control::new(published.clone());
         let (moves, orders) = Moves::new();
         let control = control.with_moves(moves);
-        let (service, net, fleet) = (site.service.clone(), site.net.clone(), site.fleet.clone());
+        let (service, net, fleet) =
+            (environment.service.clone(), environment.net.clone(), environment.fleet.clone());
         let link =
-            Link { name: name.into(), service, net, gate: gate.clone(), cut: Arc::default() };
-        let wire = Wire { name: name.into(), gate: gate.clone(), fleet, net: site.net.clone() };
+            TableLink { name: name.into(), service, net, gate: gate.clone(), cut: Arc::default() };
+        let runner_client = RunnerClient {
+            name: name.into(),
+            gate: gate.clone(),
+            fleet,
+            net: environment.net.clone(),
+        };
         let core = Core::new(seed, location());
         let leaving = Leaving::default();
-        let (face, inbox) = site.net.face(name, &gate);
-        let mover = Mover::new(Incarnation(seed), seed, Instant::now(), site.wall.now());
+        let (peer_endpoint, inbox) = environment.net.peer_endpoint(name, &gate);
         let mover =
-            Task::new(mover, link.clone(), face.clone(), control.clone(), published.clone());
-        let (history, wall) = (site.history.clone(), site.wall);
+            Mover::new(Incarnation(seed), seed, Instant::now(), environment.wall_clock.now());
+        let mover = Task::new(
+            mover,
+            link.clone(),
+            peer_endpoint.clone(),
+            control.clone(),
+            published.clone(),
+        );
+        let (history, wall_clock) = (environment.history.clone(), environment.wall_clock);
         let membership = Membership {
-            members: Members::new(seed, Instant::now(), me(name, seed)),
-            net: face,
+            members: Members::new(seed, Instant::now(), own_member(name, seed)),
+            net: peer_endpoint,
             name: name.into(),
-            drain: Drain::new(TTL),
+            drain: Drain::new(ADDRESS_TTL),
             leaving: leaving.clone(),
             control: control.clone(),
             published: published.clone(),
@@ -105,43 +117,57 @@
         let tasks = vec![
             task(drive(core, receiver, published).boxed()),
             task(pollers::poll_catalog(control.clone(), Store::new(link.clone())).boxed()),
-            task(poll_list(control.clone(), lists, wire.clone()).boxed()),
-            task(poll_loads(control.clone(), wire.clone()).boxed()),
+            task(poll_list(control.clone(), lists, runner_client.clone()).boxed()),
+            task(poll_loads(control.clone(), runner_client.clone()).boxed()),
             task(membership.run(inbox, listed).boxed()),
             task(mover.run(orders).boxed()),
-            task(moves::watch(control.clone(), name.into(), seed, history).boxed()),
+            task(moves::record_statuses(control.clone(), name.into(), seed, history).boxed()),
         ];
         let services = Services {
             control: control.clone(),
             intents: Intents::start(link.clone(), Incarnation(seed), Limits::default()),
-            sender: wire.clone(),
+            sender: runner_client.clone(),
         };
-        Node { name: name.into(), gate, control, services, link, wire, leaving, wall, tasks }
+        Node {
+            name: name.into(),
+            gate,
+            control,
+            services,
+            link,
+            runner_client,
+            leaving,
+            wall_clock,
+            tasks,
+        }
     }
 
-    /// Does to the node what a scenario says; a start is the world's.
-    pub(crate) fn act(&mut self, act: NodeAct) {
-        match act {
-            NodeAct::Die | NodeAct::Start => {
-                self.gate.set(Life::Dead);
+    /// Applies an action. A start only stops this incarnation; `World` then starts the next one.
+    pub(crate) fn apply_action(&mut self, action: NodeAction) {
+        match action {
+            NodeAction::Die | NodeAction::Start => {
+                self.gate.set(ProcessState::Dead);
                 self.tasks.drain(..).for_each(|t| t.abort());
             }
-            NodeAct::Pause if self.gate.life() == Life::Running => self.gate.set(Life::Paused),
-            NodeAct::Wake if self.gate.life() == Life::Paused => self.gate.set(Life::Running),
-            NodeAct::Pause | NodeAct::Wake => {}
-            NodeAct::Leave => _ = self.leaving.requested.send_replace(true),
-            NodeAct::CutOff => self.link.cut.store(true, SeqCst),
-            NodeAct::Rejoin => self.link.cut.store(false, SeqCst),
+            NodeAction::Pause if self.gate.process_state() == ProcessState::Running => {
+                self.gate.set(ProcessState::Paused);
+            }
+            NodeAction::Wake if self.gate.process_state() == ProcessState::Paused => {
+                self.gate.set(ProcessState::Running);
+            }
+            NodeAction::Pause | NodeAction::Wake => {}
+            NodeAction::Leave => _ = self.leaving.requested.send_replace(true),
+            NodeAction::CutOff => self.link.cut.store(true, SeqCst),
+            NodeAction::Rejoin => self.link.cut.store(false, SeqCst),
         }
     }
 
-    /// Catalogue in force, 0 for none.
+    /// Returns the revision of the current catalogue, 0 for none.
     pub(crate) fn revision(&self) -> u64 {
         self.control.view().catalog.revision
     }
 
-    /// Whether its process has exited after leaving.
-    pub(crate) fn gone(&self) -> bool {
+    /// Returns whether the process has exited after a graceful shutdown.
+    pub(crate) fn has_exited(&self) -> bool {
         *self.leaving.completed.borrow()
     }
 
@@ -153,26 +179,30 @@
     }
 }
 
-async fn poll_list(control: Control, lists: watch::Sender<Option<InstanceList>>, wire: Wire) {
+async fn poll_list(
+    control: Control,
+    lists: watch::Sender<Option<InstanceList>>,
+    runner_client: RunnerClient,
+) {
     loop {
-        let reached = wire.net.joins(&wire.name, PLATFORM);
-        if let Some(list) = wire.fleet.lagged().filter(|_| reached) {
+        let reached = runner_client.net.is_connected(&runner_client.name, PLATFORM);
+        if let Some(list) = runner_client.fleet.lagged().filter(|_| reached) {
             control.send(Event::Instances(list.clone()));
             lists.send_replace(Some(list));
         }
-        sleep(LIST_EVERY).await;
+        sleep(LIST_POLL_INTERVAL).await;
     }
 }
 
-async fn poll_loads(control: Control, wire: Wire) {
+async fn poll_loads(control: Control, runner_client: RunnerClient) {
     loop {
         for (runner, instance) in &control.view().runners {
-            control.send(match wire.load(&instance.url) {
+            control.send(match runner_client.load(&instance.url) {
                 Some(report) => Event::Load { runner: *runner, report },
                 None => Event::LoadMissing { runner: *runner },
             });
         }
-        sleep(LOAD_EVERY).await;
+        sleep(LOAD_POLL_INTERVAL).await;
     }
 }
 
@@ -180,15 +210,15 @@
     Location { region: "region".into(), domain: "domain-1".into() }
 }
 
-fn me(name: &str, seed: u64) -> Me {
-    let Instance { url, domain, peer, .. } = listed(name);
+fn own_member(name: &str, seed: u64) -> Me {
+    let Instance { url, domain, peer, .. } = listed_instance(name);
     let peer = peer.unwrap_or_default();
     let life = message::NodeIncarnation { epoch: seed, incarnation: Incarnation(seed) };
     Me { name: name.into(), life, location: message::NodeLocation { domain, url, peer } }
 }
 
-/// The node as the platform lists it.
-pub(crate) fn listed(name: &str) -> Instance {
+/// Returns the node's entry in the platform's instance list.
+pub(crate) fn listed_instance(name: &str) -> Instance {
     Instance {
         name: name.into(),
         kind: InstanceKind::Node,
--- a/crates/scenarios/src/operator.rs
+++ b/crates/scenarios/src/operator.rs
@@ -1,13 +1,13 @@
-//! Operators: the catalogues they apply, and what they are told.
+//! Simulated operators: the catalogues they apply, and the results they receive.
 
 use {
     crate::{
-        caller::{ENGINE, SERVICE},
+        caller::{ENGINE_ENTRY, SERVICE_ENTRY},
         gate::Gate,
-        language::{Apply, Told},
+        language::{Apply, OperatorReply},
         net::PLATFORM,
-        node::{Node, Site},
-        table::Link,
+        node::{Environment, Node},
+        table::TableLink,
         world::Result,
     },
     bilberryfront::{
@@ -23,17 +23,17 @@
     },
 };
 
-/// What an operator has been told, and of which revision.
-pub(crate) type Answer = Arc<Mutex<Option<(Told, Revision)>>>;
-/// All operators by name.
-pub(crate) type Operators = BTreeMap<CompactString, Answer>;
+/// Result that an operator received, with its revision; `None` until then.
+pub(crate) type SharedReply = Arc<Mutex<Option<(OperatorReply, Revision)>>>;
+/// Results of all operators, by operator name.
+pub(crate) type Operators = BTreeMap<CompactString, SharedReply>;
 
-/// Puts the first catalogue into the table.
-pub(crate) async fn first(site: &Site, version: &str) -> Result {
-    let link = Link {
+/// Writes the initial catalogue to the table.
+pub(crate) async fn apply_first_catalogue(environment: &Environment, version: &str) -> Result {
+    let link = TableLink {
         name: PLATFORM.into(),
-        service: site.service.clone(),
-        net: site.net.clone(),
+        service: environment.service.clone(),
+        net: environment.net.clone(),
         gate: Gate::default(),
         cut: Arc::default(),
     };
@@ -41,29 +41,29 @@
     (applied == Ok(Outcome::Applied(1))).then_some(()).ok_or_else(|| format!("{applied:?}"))
 }
 
-/// Applies a catalogue at a node, as the operators' face does; its reading of HTTP is tested through
-/// processes.
-pub(crate) fn apply(node: &mut Node, apply: &Apply) -> Answer {
-    let told = Answer::default();
+/// Applies a catalogue at a node, as the operators' endpoint does. HTTP parsing is covered by tests that
+/// run the real processes.
+pub(crate) fn apply(node: &mut Node, apply: &Apply) -> SharedReply {
+    let reply = SharedReply::default();
     let (store, control) = (Store::new(node.link.clone()), node.control.clone());
     let (catalogue, change) = (catalogue(&apply.version), change(&apply.name));
-    let (expect, answer) = (apply.expect, told.clone());
+    let (expect, shared_reply) = (apply.expect, reply.clone());
     node.spawn(async move {
-        let heard = match store.apply(&catalogue, expect, &change).await {
+        let outcome = match store.apply(&catalogue, expect, &change).await {
             Ok(Outcome::Applied(revision)) => {
                 control.apply_catalog(CatalogueRevision { revision, catalogue });
-                (Told::Applied, revision)
+                (OperatorReply::Applied, revision)
             }
-            Ok(Outcome::Conflict(revision)) => (Told::Conflict, revision),
-            Err(StoreError::Down(_)) => (Told::Down, 0),
-            Err(_) => (Told::Unknown, 0),
+            Ok(Outcome::Conflict(revision)) => (OperatorReply::Conflict, revision),
+            Err(StoreError::Down(_)) => (OperatorReply::Down, 0),
+            Err(_) => (OperatorReply::Unknown, 0),
         };
-        *answer.lock().unwrap() = Some(heard);
+        *shared_reply.lock().unwrap() = Some(outcome);
     });
-    told
+    reply
 }
 
-/// The catalogue whose engines serve `version`.
+/// Returns a catalogue whose engines serve `version`.
 fn catalogue(version: &str) -> CatalogDoc {
     let access = json!([
         { "account": "desk", "concurrent": 100 },
@@ -83,11 +83,11 @@
             { "name": "press", "keys": [digest("press")] },
         ],
         "entries": [
-            entry(ENGINE, "engine", version, &["v1", "v2"]),
-            entry(SERVICE, "service", "v1", &["v1"]),
+            entry(ENGINE_ENTRY, "engine", version, &["v1", "v2"]),
+            entry(SERVICE_ENTRY, "service", "v1", &["v1"]),
         ],
     });
-    serde_json::from_value(doc).expect("a plain catalogue")
+    serde_json::from_value(doc).expect("the catalogue is valid")
 }
 
 fn change(apply: &str) -> Change {
--- a/crates/scenarios/src/runner.rs
+++ b/crates/scenarios/src/runner.rs
@@ -1,10 +1,10 @@
-//! Runners in memory: what they are asked, what they write, and what goes wrong with them.
+//! In-memory runners: the requests they receive, their responses, and their faults.
 
 use {
     crate::{
-        gate::{Gate, Life},
-        language::RunnerAct,
-        writer::Writer,
+        gate::{Gate, ProcessState},
+        language::RunnerAction,
+        writer::GenerationWriter,
     },
     bilberryfront::traffic::{
         send::{Outgoing, Reply},
@@ -28,43 +28,43 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// One generation at one runner.
+/// One generation that a runner has received.
 #[derive(Clone, Debug)]
-pub(crate) struct Run {
+pub(crate) struct GenerationRecord {
     pub(crate) runner: CompactString,
-    /// Identifier that the node gave it.
-    pub(crate) leg: CompactString,
+    /// Identifier that the node assigned.
+    pub(crate) runner_request_id: CompactString,
     pub(crate) version: CompactString,
     pub(crate) prompt: String,
     pub(crate) salt: u64,
-    /// Node that sent it.
+    /// Node that sent the generation.
     pub(crate) node: CompactString,
-    /// Tokens that went before.
+    /// Number of tokens that precede this generation.
     pub(crate) index: u32,
-    pub(crate) begun: Instant,
+    pub(crate) started_at: Instant,
 }
 
-/// One call that a runner has read.
+/// One call that a runner has received.
 #[derive(Clone, Debug)]
-pub(crate) struct Read {
+pub(crate) struct CallRecord {
     pub(crate) runner: CompactString,
     /// Name of the caller's call.
     pub(crate) call: CompactString,
     pub(crate) account: CompactString,
-    /// Idempotency key, or none.
+    /// Idempotency key; empty if there is none.
     pub(crate) key: CompactString,
     pub(crate) ran: bool,
-    pub(crate) begun: Instant,
+    pub(crate) started_at: Instant,
 }
 
-/// What all runners have been sent.
+/// Generations and calls that all runners have received.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
-    pub(crate) runs: Vec<Run>,
-    pub(crate) reads: Vec<Read>,
+    pub(crate) generations: Vec<GenerationRecord>,
+    pub(crate) calls: Vec<CallRecord>,
 }
 
-/// A runner; clones share it.
+/// A runner; clones share the state.
 #[derive(Clone)]
 pub(crate) struct Runner {
     pub(crate) name: CompactString,
@@ -78,17 +78,17 @@
 
 struct State {
     pace: Duration,
-    /// Time until the first token, if not the pace.
-    first: Option<Duration>,
-    acts: Vec<RunnerAct>,
-    left: Option<Instant>,
+    /// Time to the first token, if it differs from `pace`.
+    first_token_delay: Option<Duration>,
+    actions: Vec<RunnerAction>,
+    leave_requested_at: Option<Instant>,
     running: u32,
-    work: Vec<AbortHandle>,
-    open: Vec<mpsc::UnboundedSender<Result<RunnerEvent>>>,
+    tasks: Vec<AbortHandle>,
+    streams: Vec<mpsc::UnboundedSender<Result<RunnerEvent>>>,
 }
 
-/// How a runner is made.
-pub(crate) struct Make<'a> {
+/// Parameters of a new runner.
+pub(crate) struct RunnerConfig<'a> {
     pub(crate) name: &'a str,
     pub(crate) kind: InstanceKind,
     pub(crate) entry: &'a str,
@@ -100,8 +100,8 @@
 }
 
 impl Runner {
-    pub(crate) fn new(make: Make<'_>) -> Runner {
-        let Make { name, kind, entry, version, tokens, differs, pace, log } = make;
+    pub(crate) fn new(config: RunnerConfig<'_>) -> Runner {
+        let RunnerConfig { name, kind, entry, version, tokens, differs, pace, log } = config;
         let instance = Instance {
             name: name.into(),
             kind,
@@ -115,71 +115,75 @@
         };
         let state = State {
             pace,
-            first: None,
-            acts: vec![],
-            left: None,
+            first_token_delay: None,
+            actions: vec![],
+            leave_requested_at: None,
             running: 0,
-            work: vec![],
-            open: vec![],
+            tasks: vec![],
+            streams: vec![],
         };
         let state = Arc::new(Mutex::new(state));
         Runner { name: name.into(), gate: Gate::default(), instance, tokens, differs, log, state }
     }
 
-    /// Does to the runner what a scenario says.
-    pub(crate) fn act(&self, act: RunnerAct) {
+    /// Applies an action, or schedules a fault.
+    pub(crate) fn apply_action(&self, action: RunnerAction) {
         let mut state = self.state.lock().unwrap();
-        match act {
-            RunnerAct::Die => {
+        match action {
+            RunnerAction::Die => {
                 drop(state);
                 self.die();
             }
-            RunnerAct::Start => {
-                state.acts.clear();
-                (state.left, state.first) = (None, None);
-                self.gate.set(Life::Running);
+            RunnerAction::Start => {
+                state.actions.clear();
+                (state.leave_requested_at, state.first_token_delay) = (None, None);
+                self.gate.set(ProcessState::Running);
             }
-            RunnerAct::Wake if self.gate.life() == Life::Paused => self.gate.set(Life::Running),
-            RunnerAct::Wake => {}
-            RunnerAct::Pause if self.gate.life() == Life::Running => self.gate.set(Life::Paused),
-            RunnerAct::Pause => {}
-            RunnerAct::Leave => _ = state.left.get_or_insert_with(Instant::now),
-            RunnerAct::Slow(ms) => state.pace = Duration::from_millis(ms),
-            RunnerAct::First(ms) => state.first = Some(Duration::from_millis(ms)),
-            act => state.acts.push(act),
+            RunnerAction::Wake if self.gate.process_state() == ProcessState::Paused => {
+                self.gate.set(ProcessState::Running);
+            }
+            RunnerAction::Wake => {}
+            RunnerAction::Pause if self.gate.process_state() == ProcessState::Running => {
+                self.gate.set(ProcessState::Paused);
+            }
+            RunnerAction::Pause => {}
+            RunnerAction::Leave => _ = state.leave_requested_at.get_or_insert_with(Instant::now),
+            RunnerAction::Slow(ms) => state.pace = Duration::from_millis(ms),
+            RunnerAction::First(ms) => state.first_token_delay = Some(Duration::from_millis(ms)),
+            action => state.actions.push(action),
         }
     }
 
-    /// As the platform lists it at this moment.
+    /// Returns the runner's current entry in the platform's instance list, if it is alive.
     pub(crate) fn listed(&self) -> Option<Instance> {
-        let state = match self.left() {
+        let state = match self.leave_requested_at() {
             Some(_) => InstanceState::Leaving,
             None => InstanceState::Live,
         };
-        let alive = self.gate.life() != Life::Dead;
+        let alive = self.gate.process_state() != ProcessState::Dead;
         alive.then(|| Instance { state, ..self.instance.clone() })
     }
 
-    /// When it was told to leave.
-    pub(crate) fn left(&self) -> Option<Instant> {
-        self.state.lock().unwrap().left
+    /// Returns when it was asked to leave.
+    pub(crate) fn leave_requested_at(&self) -> Option<Instant> {
+        self.state.lock().unwrap().leave_requested_at
     }
 
-    /// Its load report, unless it is dead or paused.
+    /// Returns its load report, unless it is dead or paused.
     pub(crate) fn load(&self) -> Option<LoadReport> {
         let state = self.state.lock().unwrap();
-        let runs = self.gate.life() == Life::Running;
-        runs.then(|| LoadReport {
+        let is_running = self.gate.process_state() == ProcessState::Running;
+        is_running.then(|| LoadReport {
             version: self.instance.version.clone(),
             running: state.running,
             waiting: 0,
             slots: 16,
-            leaving: state.left.is_some(),
+            leaving: state.leave_requested_at.is_some(),
             cache: vec![],
         })
     }
 
-    pub(crate) fn owns(&self, url: &str) -> bool {
+    pub(crate) fn serves_url(&self, url: &str) -> bool {
         let rest = url.strip_prefix(self.instance.url.as_str());
         rest.is_some_and(|r| r.is_empty() || r.starts_with('/'))
     }
@@ -190,10 +194,10 @@
         node: &str,
         generate: &Generate,
     ) -> Result<mpsc::UnboundedReceiver<Result<RunnerEvent>>> {
-        if self.gate.life() == Life::Dead {
+        if self.gate.process_state() == ProcessState::Dead {
             return Err(Failure::Lost(Verdict::Broken));
         }
-        self.gate.pass().await;
+        self.gate.wait_until_running().await;
         if generate.version != self.instance.version {
             return Err(Failure::Lost(Verdict::Rejected));
         }
@@ -201,136 +205,143 @@
             true => xxh64(generate.request.as_bytes(), generate.attempt.into()),
             false => 0,
         };
-        self.log.lock().unwrap().runs.push(Run {
+        self.log.lock().unwrap().generations.push(GenerationRecord {
             runner: self.name.clone(),
-            leg: generate.request.clone(),
+            runner_request_id: generate.request.clone(),
             version: generate.version.clone(),
             prompt: generate.prompt.clone(),
             salt,
             node: node.into(),
             index: generate.index,
-            begun: Instant::now(),
+            started_at: Instant::now(),
         });
-        if self.rejects(generate) {
+        if self.is_rejected(generate) {
             return Err(Failure::Lost(Verdict::Broken));
         }
         let (sender, receiver) = mpsc::unbounded_channel();
-        let writer = Writer { runner: self.clone(), generate: generate.clone(), salt, sender };
+        let writer =
+            GenerationWriter { runner: self.clone(), generate: generate.clone(), salt, sender };
         let mut state = self.state.lock().unwrap();
-        state.work.push(tokio::spawn(self.gate.clone().run(writer.write())).abort_handle());
+        state.tasks.push(tokio::spawn(self.gate.clone().run(writer.write())).abort_handle());
         Ok(receiver)
     }
 
-    fn rejects(&self, generate: &Generate) -> bool {
+    fn is_rejected(&self, generate: &Generate) -> bool {
         let state = self.state.lock().unwrap();
-        state.acts.iter().any(|act| match act {
-            RunnerAct::Reject(bytes) => generate.prompt.len() >= *bytes,
-            RunnerAct::RejectOver(most) => state.running >= *most,
+        state.actions.iter().any(|action| match action {
+            RunnerAction::Reject(bytes) => generate.prompt.len() >= *bytes,
+            RunnerAction::RejectOver(most) => state.running >= *most,
             _ => false,
         })
     }
 
-    /// Reads a call; the answer is dropped when there will be none.
-    pub(crate) fn read(&self, call: Outgoing) -> oneshot::Receiver<Reply> {
+    /// Receives a call. The reply channel closes if there will be no reply.
+    pub(crate) fn receive_call(&self, call: Outgoing) -> oneshot::Receiver<Reply> {
         let (sender, receiver) = oneshot::channel();
-        let work = self.gate.clone().run(self.clone().execute(call, sender));
-        self.state.lock().unwrap().work.push(tokio::spawn(work).abort_handle());
+        let work = self.gate.clone().run(self.clone().run_call(call, sender));
+        self.state.lock().unwrap().tasks.push(tokio::spawn(work).abort_handle());
         receiver
     }
 
-    async fn execute(self, call: Outgoing, answer: oneshot::Sender<Reply>) {
+    async fn run_call(self, call: Outgoing, answer: oneshot::Sender<Reply>) {
         let header = |name| {
             CompactString::from(
                 call.headers
                     .get(name)
-                    .map_or("", |v| v.to_str().expect("scenarios have plain names")),
+                    .map_or("", |v| v.to_str().expect("names are valid in headers")),
             )
         };
-        let read = Read {
+        let read = CallRecord {
             runner: self.name.clone(),
             call: header("call"),
             account: header("bilberryfront-account"),
             key: header("idempotency-key"),
             ran: false,
-            begun: Instant::now(),
+            started_at: Instant::now(),
         };
         let at = {
             let mut log = self.log.lock().unwrap();
-            log.reads.push(read.clone());
-            log.reads.len() - 1
+            log.calls.push(read.clone());
+            log.calls.len() - 1
         };
-        let act = self.take(|a| {
-            matches!(a, RunnerAct::CloseBefore | RunnerAct::CloseAfter | RunnerAct::DieAfter)
+        let action = self.take_action(|a| {
+            matches!(
+                a,
+                RunnerAction::CloseBefore | RunnerAction::CloseAfter | RunnerAction::DieAfter
+            )
         });
-        if act == Some(RunnerAct::CloseBefore) {
+        if action == Some(RunnerAction::CloseBefore) {
             return;
         }
         sleep(self.pace() / 2).await;
-        self.log.lock().unwrap().reads[at].ran = true;
-        match act {
-            Some(RunnerAct::CloseAfter) => return,
-            Some(RunnerAct::DieAfter) => return self.die(),
+        self.log.lock().unwrap().calls[at].ran = true;
+        match action {
+            Some(RunnerAction::CloseAfter) => return,
+            Some(RunnerAction::DieAfter) => return self.die(),
             _ => {}
         }
         sleep(self.pace() / 2).await;
         let body = receipt(&read.account, &read.key, &call.body);
         let status = http::StatusCode::OK;
-        // The node may have gone.
+        // The receiver is closed if the node has stopped.
         _ = answer.send(Reply { status, headers: Default::default(), body: body.into() });
     }
 
-    pub(crate) fn begun(&self, stream: &mpsc::UnboundedSender<Result<RunnerEvent>>) {
+    pub(crate) fn record_stream_start(&self, stream: &mpsc::UnboundedSender<Result<RunnerEvent>>) {
         let mut state = self.state.lock().unwrap();
         state.running += 1;
-        state.open.push(stream.clone());
+        state.streams.push(stream.clone());
     }
 
-    pub(crate) fn ended(&self, stream: &mpsc::UnboundedSender<Result<RunnerEvent>>) {
+    pub(crate) fn record_stream_end(&self, stream: &mpsc::UnboundedSender<Result<RunnerEvent>>) {
         let mut state = self.state.lock().unwrap();
         state.running = state.running.saturating_sub(1);
-        state.open.retain(|s| !s.same_channel(stream));
+        state.streams.retain(|s| !s.same_channel(stream));
     }
 
-    /// Time until the first token of an answer.
-    pub(crate) fn first(&self) -> Duration {
+    /// Returns the time to the first token.
+    pub(crate) fn first_token_delay(&self) -> Duration {
         let state = self.state.lock().unwrap();
-        state.first.unwrap_or(state.pace)
+        state.first_token_delay.unwrap_or(state.pace)
     }
 
-    /// Version that it serves.
+    /// Returns the version that it serves.
     pub(crate) fn version(&self) -> &str {
         &self.instance.version
     }
 
-    /// Time for a token or a call.
+    /// Returns the time per token or call.
     pub(crate) fn pace(&self) -> Duration {
         self.state.lock().unwrap().pace
     }
 
     pub(crate) fn die(&self) {
-        self.gate.set(Life::Dead);
+        self.gate.set(ProcessState::Dead);
         let mut state = self.state.lock().unwrap();
-        (state.running, state.left) = (0, None);
-        state.work.drain(..).for_each(|w| w.abort());
-        for open in state.open.drain(..) {
-            // The node may have gone.
-            _ = open.send(Err(Failure::Lost(Verdict::Broken)));
+        (state.running, state.leave_requested_at) = (0, None);
+        state.tasks.drain(..).for_each(|w| w.abort());
+        for stream in state.streams.drain(..) {
+            // The receiver is closed if the node has stopped.
+            _ = stream.send(Err(Failure::Lost(Verdict::Broken)));
         }
     }
 
-    /// Takes the first act that is wanted, so that it is done once.
-    pub(crate) fn take(&self, wanted: impl Fn(RunnerAct) -> bool) -> Option<RunnerAct> {
-        let acts = &mut self.state.lock().unwrap().acts;
-        let at = acts.iter().position(|a| wanted(*a))?;
-        Some(acts.remove(at))
+    /// Removes and returns the first scheduled action that matches, so that it takes effect only once.
+    pub(crate) fn take_action(
+        &self,
+        wanted: impl Fn(RunnerAction) -> bool,
+    ) -> Option<RunnerAction> {
+        let actions = &mut self.state.lock().unwrap().actions;
+        let at = actions.iter().position(|a| wanted(*a))?;
+        Some(actions.remove(at))
     }
 
-    pub(crate) fn crosses(&self) -> bool {
-        self.state.lock().unwrap().acts.contains(&RunnerAct::Cross)
+    pub(crate) fn writes_foreign_tokens(&self) -> bool {
+        self.state.lock().unwrap().actions.contains(&RunnerAction::Cross)
     }
 }
 
-/// The answer of a service to one call.
+/// Returns the response of a service to one call.
 pub(crate) fn receipt(account: &str, key: &str, body: &[u8]) -> String {
     format!("{account} {key} {:016x}", xxh64(body, 0))
 }
--- a/crates/scenarios/src/storm.rs
+++ b/crates/scenarios/src/storm.rs
@@ -1,8 +1,9 @@
-//! Random scenarios, made of the same steps and judged by the same checks.
+//! Random scenarios, built from the same steps and checked by the same invariants as the files.
 
 use {
     crate::language::{
-        Apply, Call, Expect, NodeAct, Request, Resume, RunnerAct, Scenario, Setup, Step, TableAct,
+        Apply, Call, Expect, NodeAction, Request, Resume, RunnerAction, Scenario, Setup, Step,
+        TableAction,
     },
     compact_str::{CompactString, format_compact},
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom},
@@ -11,14 +12,14 @@
 const NODES: [&str; 3] = ["a", "b", "c"];
 const ENGINES: [(&str, &str); 4] = [("e1", "v1"), ("e2", "v1"), ("e3", "v2"), ("e4", "v2")];
 const SERVICES: [&str; 2] = ["s1", "s2"];
-/// Idempotency keys that are used; few, so that they meet.
+/// Number of different idempotency keys; few, so that calls often use the same key.
 const KEYS: u32 = 4;
-/// Tokens of an answer.
+/// Number of tokens in an answer.
 const TOKENS: u32 = 12;
-/// Random steps of one scenario.
+/// Number of random steps in a scenario, without the waits between them.
 const STEPS: usize = 40;
 
-/// Draws scenarios.
+/// Generator of a random scenario.
 struct Storm {
     rng: SmallRng,
     steps: Vec<Step>,
@@ -26,7 +27,7 @@
     names: Vec<CompactString>,
 }
 
-/// The scenario of a seed: random steps, then all faults end, and each caller gets its answer.
+/// Returns the scenario of a seed: random steps, then all faults end and every caller gets its answer.
 pub(crate) fn draw(seed: u64) -> Scenario {
     let rng = SmallRng::seed_from_u64(seed);
     let mut storm = Storm { rng, steps: vec![], generations: vec![], names: vec![] };
@@ -37,7 +38,7 @@
         let pause = storm.rng.random_range(0..600);
         storm.steps.push(Step::Wait(pause));
     }
-    storm.calm();
+    storm.end_faults();
     let world = Setup {
         seed: seed % 1_000_000,
         nodes: NODES.map(CompactString::from).to_vec(),
@@ -58,9 +59,9 @@
             11 => self.resume().unwrap_or(Step::Wait(100)),
             12 => self.hang_up().unwrap_or(Step::Wait(100)),
             13 => self.apply(),
-            14..17 => Step::Runner { who: self.runner(), does: self.runner_act() },
-            17 => Step::Node { who: self.node(), does: self.node_act() },
-            18 => Step::Table(self.table_act()),
+            14..17 => Step::Runner { who: self.runner(), does: self.runner_action() },
+            17 => Step::Node { who: self.node(), does: self.node_action() },
+            18 => Step::Table(self.table_action()),
             _ => self.network(),
         }
     }
@@ -100,56 +101,56 @@
         Step::Apply(Apply { name, node: self.node(), expect, version })
     }
 
-    fn runner_act(&mut self) -> RunnerAct {
+    fn runner_action(&mut self) -> RunnerAction {
         let at = self.rng.random_range(0..TOKENS + 2);
-        let acts = [
-            RunnerAct::Die,
-            RunnerAct::Start,
-            RunnerAct::Pause,
-            RunnerAct::Wake,
-            RunnerAct::Leave,
-            RunnerAct::Slow(at.into()),
-            RunnerAct::Cross,
-            RunnerAct::DieAt(at),
-            RunnerAct::CutAt(at),
-            RunnerAct::StallAt(at),
-            RunnerAct::SkipAt(at),
-            RunnerAct::RepeatAt(at),
-            RunnerAct::EndAt(at),
-            RunnerAct::FinishAt(at),
-            RunnerAct::CloseBefore,
-            RunnerAct::CloseAfter,
-            RunnerAct::DieAfter,
+        let actions = [
+            RunnerAction::Die,
+            RunnerAction::Start,
+            RunnerAction::Pause,
+            RunnerAction::Wake,
+            RunnerAction::Leave,
+            RunnerAction::Slow(at.into()),
+            RunnerAction::Cross,
+            RunnerAction::DieAt(at),
+            RunnerAction::CutAt(at),
+            RunnerAction::StallAt(at),
+            RunnerAction::SkipAt(at),
+            RunnerAction::RepeatAt(at),
+            RunnerAction::EndAt(at),
+            RunnerAction::FinishAt(at),
+            RunnerAction::CloseBefore,
+            RunnerAction::CloseAfter,
+            RunnerAction::DieAfter,
         ];
-        acts[self.rng.random_range(0..acts.len())]
-    }
-
-    fn node_act(&mut self) -> NodeAct {
-        let acts = [
-            NodeAct::Die,
-            NodeAct::Start,
-            NodeAct::Start,
-            NodeAct::Pause,
-            NodeAct::Wake,
-            NodeAct::Wake,
-            NodeAct::Leave,
-            NodeAct::CutOff,
-            NodeAct::Rejoin,
+        actions[self.rng.random_range(0..actions.len())]
+    }
+
+    fn node_action(&mut self) -> NodeAction {
+        let actions = [
+            NodeAction::Die,
+            NodeAction::Start,
+            NodeAction::Start,
+            NodeAction::Pause,
+            NodeAction::Wake,
+            NodeAction::Wake,
+            NodeAction::Leave,
+            NodeAction::CutOff,
+            NodeAction::Rejoin,
         ];
-        acts[self.rng.random_range(0..acts.len())]
+        actions[self.rng.random_range(0..actions.len())]
     }
 
-    fn table_act(&mut self) -> TableAct {
+    fn table_action(&mut self) -> TableAction {
         let count = self.rng.random_range(1..4);
-        let acts = [
-            TableAct::Up,
-            TableAct::Up,
-            TableAct::Down,
-            TableAct::Slow(u64::from(count) * 300),
-            TableAct::LoseReplies(count),
-            TableAct::LoseCommits(count),
+        let actions = [
+            TableAction::Up,
+            TableAction::Up,
+            TableAction::Down,
+            TableAction::Slow(u64::from(count) * 300),
+            TableAction::LoseReplies(count),
+            TableAction::LoseCommits(count),
         ];
-        acts[self.rng.random_range(0..acts.len())]
+        actions[self.rng.random_range(0..actions.len())]
     }
 
     fn network(&mut self) -> Step {
@@ -160,18 +161,19 @@
         }
     }
 
-    /// Ends all faults, and lets every caller have its answer.
-    fn calm(&mut self) {
+    /// Adds steps that end all faults, and then check that every generation completes.
+    fn end_faults(&mut self) {
         let steps = &mut self.steps;
-        steps.extend([Step::Apart(vec![]), Step::Table(TableAct::Up), Step::ListLag(100)]);
+        steps.extend([Step::Apart(vec![]), Step::Table(TableAction::Up), Step::ListLag(100)]);
         for who in ENGINES.iter().map(|(name, _)| *name).chain(SERVICES) {
-            for does in [RunnerAct::Die, RunnerAct::Start, RunnerAct::Slow(50)] {
+            for does in [RunnerAction::Die, RunnerAction::Start, RunnerAction::Slow(50)] {
                 steps.push(Step::Runner { who: who.into(), does });
             }
         }
-        let restart = |who: &str| Step::Node { who: who.into(), does: NodeAct::Start };
+        let restart = |who: &str| Step::Node { who: who.into(), does: NodeAction::Start };
         steps.extend(NODES.map(restart));
-        // All runners died: the back-off of the nodes and the dead nodes' silence must be over.
+        // All runners died and all nodes were restarted: waits until the nodes' back-off for runners has
+        // ended and the silence of the dead nodes has timed out.
         steps.push(Step::Wait(30_000));
         for name in self.generations.clone() {
             let resume = Resume { name: name.clone(), node: "a".into(), forget: 0 };
@@ -195,6 +197,6 @@
     }
 
     fn pick(&mut self, names: &[&str]) -> CompactString {
-        (*names.choose(&mut self.rng).expect("there are names")).into()
+        (*names.choose(&mut self.rng).expect("the list of names is not empty")).into()
     }
 }
--- a/crates/scenarios/src/table.rs
+++ b/crates/scenarios/src/table.rs
@@ -1,9 +1,9 @@
-//! The platform's table in memory, as each node reaches it.
+//! In-memory version of the platform's table, and each node's connection to it.
 
 use {
     crate::{
         gate::Gate,
-        language::TableAct,
+        language::TableAction,
         net::{Net, PLATFORM},
     },
     bilberryfront::platform::{
@@ -23,16 +23,16 @@
     tokio::time::sleep,
 };
 
-/// The service; clones share it.
+/// The table service; clones share the state.
 #[derive(Clone, Default)]
-pub(crate) struct Service {
+pub(crate) struct TableService {
     state: Arc<Mutex<State>>,
 }
 
 #[derive(Default)]
 struct State {
     rows: RowStore,
-    /// What reads show in place of `rows`.
+    /// Rows that reads return instead of `rows`.
     stale: Option<RowStore>,
     down: bool,
     slow: Duration,
@@ -40,30 +40,30 @@
     lost_commits: u32,
 }
 
-/// One node's way to the service.
+/// One node's connection to the table service.
 #[derive(Clone)]
-pub(crate) struct Link {
+pub(crate) struct TableLink {
     pub(crate) name: CompactString,
     pub(crate) net: Net,
-    pub(crate) service: Service,
+    pub(crate) service: TableService,
     pub(crate) gate: Gate,
     pub(crate) cut: Arc<AtomicBool>,
 }
 
-impl Service {
-    /// Does to the service what a scenario says.
-    pub(crate) fn act(&self, act: TableAct) {
+impl TableService {
+    /// Applies an action or a fault.
+    pub(crate) fn apply_action(&self, action: TableAction) {
         let mut state = self.state.lock().unwrap();
-        match act {
-            TableAct::Up => {
+        match action {
+            TableAction::Up => {
                 let rows = std::mem::take(&mut state.rows);
                 *state = State { rows, ..State::default() };
             }
-            TableAct::Down => state.down = true,
-            TableAct::Slow(ms) => state.slow = Duration::from_millis(ms),
-            TableAct::LoseReplies(count) => state.lost_replies = count,
-            TableAct::LoseCommits(count) => state.lost_commits = count,
-            TableAct::StaleReads => state.stale = Some(state.rows.clone()),
+            TableAction::Down => state.down = true,
+            TableAction::Slow(ms) => state.slow = Duration::from_millis(ms),
+            TableAction::LoseReplies(count) => state.lost_replies = count,
+            TableAction::LoseCommits(count) => state.lost_commits = count,
+            TableAction::StaleReads => state.stale = Some(state.rows.clone()),
         }
     }
 
@@ -76,31 +76,36 @@
     }
 }
 
-impl Link {
-    async fn reach<A>(&self, act: impl FnOnce(&mut State) -> Result<A>) -> Result<A> {
-        self.gate.pass().await;
+impl TableLink {
+    async fn exchange<A>(&self, action: impl FnOnce(&mut State) -> Result<A>) -> Result<A> {
+        self.gate.wait_until_running().await;
         sleep(self.service.slow() / 2).await;
-        if self.service.down() || self.cut.load(SeqCst) || !self.net.joins(&self.name, PLATFORM) {
-            return Err(PlatformError::Down("fake".into()));
+        if self.service.down()
+            || self.cut.load(SeqCst)
+            || !self.net.is_connected(&self.name, PLATFORM)
+        {
+            return Err(PlatformError::Down("fake: table not reachable".into()));
         }
-        let answer = act(&mut self.service.state.lock().unwrap());
+        let answer = action(&mut self.service.state.lock().unwrap());
         sleep(self.service.slow() / 2).await;
-        self.gate.pass().await;
+        self.gate.wait_until_running().await;
         answer
     }
 }
 
-impl Table for Link {
+impl Table for TableLink {
     async fn commit(&self, commit: &Commit) -> Result<Committed> {
-        self.reach(|state| {
+        self.exchange(|state| {
             if state.lost_commits > 0 {
                 state.lost_commits -= 1;
-                return Err(PlatformError::Lost("fake: before its effect".into()));
+                return Err(PlatformError::Lost("fake: commit lost before it took effect".into()));
             }
             let done = state.rows.commit(commit);
             if state.lost_replies > 0 {
                 state.lost_replies -= 1;
-                return Err(PlatformError::Lost("fake: after its effect".into()));
+                return Err(PlatformError::Lost(
+                    "fake: reply lost after the commit took effect".into(),
+                ));
             }
             Ok(done)
         })
@@ -108,7 +113,7 @@
     }
 
     async fn read(&self, read: &Read) -> Result<Rows> {
-        self.reach(|state| {
+        self.exchange(|state| {
             let rows = state.stale.as_ref().unwrap_or(&state.rows);
             Ok(rows.read(read))
         })
@@ -116,6 +121,6 @@
     }
 
     async fn scan(&self, scan: &Scan) -> Result<Rows> {
-        self.reach(|state| Ok(state.rows.scan(scan))).await
+        self.exchange(|state| Ok(state.rows.scan(scan))).await
     }
 }
--- a/crates/scenarios/src/writer.rs
+++ b/crates/scenarios/src/writer.rs
@@ -1,7 +1,7 @@
-//! What an engine writes: tokens that show any mixture, gap or repetition, and its faults.
+//! Output of an engine: tokens that reveal any mixture, gap or repetition, and injected faults.
 
 use {
-    crate::{language::RunnerAct, runner::Runner},
+    crate::{language::RunnerAction, runner::Runner},
     bilberryfront::traffic::upstream::{Failure, Result, RunnerEvent},
     bilberryfront_decide::event::Verdict,
     bilberryfront_wire::{
@@ -13,83 +13,83 @@
     xxhash_rust::xxh64::xxh64,
 };
 
-/// Bytes of a token.
-pub(crate) const TOKEN: usize = 9;
+/// Length of a token, in bytes.
+pub(crate) const TOKEN_BYTES: usize = 9;
 
-/// The token that follows `text`. It depends on all that went before, so that any mixture, gap or
-/// repetition changes what must follow.
-pub(crate) fn token(version: &str, prompt: &str, salt: u64, text: &str) -> CompactString {
+/// Returns the token that follows `text`. It depends on the whole text before it, so that any mixture,
+/// gap or repetition changes every token after it.
+pub(crate) fn token_text(version: &str, prompt: &str, salt: u64, text: &str) -> CompactString {
     let of = |part: &str, seed| xxh64(part.as_bytes(), seed);
     let hash = of(text, of(prompt, of(version, salt)));
     format_compact!("{:08x} ", hash as u32)
 }
 
-/// One generation under way.
-pub(crate) struct Writer {
+/// Writer of one running generation.
+pub(crate) struct GenerationWriter {
     pub(crate) runner: Runner,
     pub(crate) generate: Generate,
     pub(crate) salt: u64,
     pub(crate) sender: mpsc::UnboundedSender<Result<RunnerEvent>>,
 }
 
-impl Writer {
+impl GenerationWriter {
     pub(crate) async fn write(self) {
-        self.runner.begun(&self.sender);
-        self.tokens().await;
-        self.runner.ended(&self.sender);
+        self.runner.record_stream_start(&self.sender);
+        self.write_tokens().await;
+        self.runner.record_stream_end(&self.sender);
     }
 
-    async fn tokens(&self) {
+    async fn write_tokens(&self) {
         let Generate { index, prefix, max_tokens, .. } = &self.generate;
         let (mut at, mut text) = (*index, prefix.clone());
         let end = self.runner.tokens.min(*max_tokens);
         while !self.sender.is_closed() {
             let first = at == *index;
-            sleep(if first { self.runner.first() } else { self.runner.pace() }).await;
-            let token = self.next(&text);
-            match self.act(at) {
-                Some(RunnerAct::DieAt(_)) => return self.runner.die(),
-                Some(RunnerAct::CutAt(_)) => {
-                    return self.say(Err(Failure::Lost(Verdict::Broken)));
+            sleep(if first { self.runner.first_token_delay() } else { self.runner.pace() }).await;
+            let token = self.next_token(&text);
+            match self.take_action(at) {
+                Some(RunnerAction::DieAt(_)) => return self.runner.die(),
+                Some(RunnerAction::CutAt(_)) => {
+                    return self.send(Err(Failure::Lost(Verdict::Broken)));
                 }
-                Some(RunnerAct::StallAt(_)) => std::future::pending().await,
-                Some(RunnerAct::EndAt(_)) => return self.say(Ok(RunnerEvent::Done)),
-                Some(RunnerAct::FinishAt(_)) => return self.finish(end),
-                Some(RunnerAct::SkipAt(_)) => {
+                Some(RunnerAction::StallAt(_)) => std::future::pending().await,
+                Some(RunnerAction::EndAt(_)) => return self.send(Ok(RunnerEvent::Done)),
+                Some(RunnerAction::FinishAt(_)) => return self.send_finish(end),
+                Some(RunnerAction::SkipAt(_)) => {
                     text.push_str(&token);
                     at += 1;
                     continue;
                 }
-                Some(RunnerAct::RepeatAt(_)) if at > *index => {
-                    let last = text[text.len() - TOKEN..].into();
-                    self.token(self.generate.attempt, at - 1, last);
+                Some(RunnerAction::RepeatAt(_)) if at > *index => {
+                    let last = text[text.len() - TOKEN_BYTES..].into();
+                    self.send_token(self.generate.attempt, at - 1, last);
                 }
                 _ => {}
             }
             if at > end {
-                return self.say(Ok(RunnerEvent::Done));
+                return self.send(Ok(RunnerEvent::Done));
             }
             if at == end {
-                self.finish(end);
+                self.send_finish(end);
                 at += 1;
                 continue;
             }
-            if self.runner.crosses() {
-                self.token(self.generate.attempt - 1, at, "another0 ".into());
+            if self.runner.writes_foreign_tokens() {
+                self.send_token(self.generate.attempt - 1, at, "another0 ".into());
             }
-            self.token(self.generate.attempt, at, token.clone());
+            self.send_token(self.generate.attempt, at, token.clone());
             text.push_str(&token);
             at += 1;
         }
     }
 
-    fn next(&self, text: &str) -> CompactString {
-        token(&self.generate.version, &self.generate.prompt, self.salt, text)
+    fn next_token(&self, text: &str) -> CompactString {
+        token_text(&self.generate.version, &self.generate.prompt, self.salt, text)
     }
 
-    fn act(&self, at: u32) -> Option<RunnerAct> {
-        use RunnerAct::{CutAt, DieAt, EndAt, FinishAt, RepeatAt, SkipAt, StallAt};
-        self.runner.take(|act| match act {
+    fn take_action(&self, at: u32) -> Option<RunnerAction> {
+        use RunnerAction::{CutAt, DieAt, EndAt, FinishAt, RepeatAt, SkipAt, StallAt};
+        self.runner.take_action(|act| match act {
             DieAt(n) | CutAt(n) | StallAt(n) | SkipAt(n) | RepeatAt(n) | EndAt(n) | FinishAt(n) => {
                 n == at
             }
@@ -97,20 +97,20 @@
         })
     }
 
-    fn token(&self, attempt: u32, index: u32, text: CompactString) {
-        self.say(Ok(RunnerEvent::Token(attempt, Token { index, text })));
+    fn send_token(&self, attempt: u32, index: u32, text: CompactString) {
+        self.send(Ok(RunnerEvent::Token(attempt, Token { index, text })));
     }
 
-    fn finish(&self, tokens: u32) {
+    fn send_finish(&self, tokens: u32) {
         let reason = match tokens == self.generate.max_tokens {
             true => FinishReason::Length,
             false => FinishReason::Stop,
         };
-        self.say(Ok(RunnerEvent::Finish(Finish { tokens, reason })));
+        self.send(Ok(RunnerEvent::Finish(Finish { tokens, reason })));
     }
 
-    fn say(&self, said: Result<RunnerEvent>) {
-        // The node may have gone.
-        _ = self.sender.send(said);
+    fn send(&self, event: Result<RunnerEvent>) {
+        // The receiver is closed if the node has stopped.
+        _ = self.sender.send(event);
     }
 }
