--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -1,9 +1,9 @@
 //! Starts a small deployment on loopback, kills a runner in the middle of a long generation, posts
-//! one call twice, and checks what the caller gets. Exits with 0 only if every check held.
+//! one call twice, and checks what the caller receives. Exits with 0 only if every check passed.
 //!
 //! `cargo run --release --example demo [-- --prompt-file FILE]`
 //!
-//! With `--stay` it only starts the deployment, prints where it is, and keeps it up until Ctrl-C.
+//! With `--stay` it only starts the deployment, prints its URLs, and keeps it running until Ctrl-C.
 
 mod steps;
 
@@ -17,14 +17,14 @@
     },
 };
 
-/// Tells a copy of this program which part to play.
-const ROLE: &str = "BILBERRYFRONT_DEMO_ROLE";
-/// Prompt when no file is given.
+/// Environment variable that selects the role of a copy of this program.
+const ROLE_VARIABLE: &str = "BILBERRYFRONT_DEMO_ROLE";
+/// Default prompt.
 const PROMPT: &str = "Mark the doubtful claims in this council report: the bridge carries 9,000 \
                       vehicles a day, and the last survey was in 1987.";
 
 fn main() -> ExitCode {
-    match env::var(ROLE).as_deref() {
+    match env::var(ROLE_VARIABLE).as_deref() {
         Ok("standin") => bilberryfront_standins::main(),
         Ok("node") => bilberryfront::command::main(),
         _ => demo(),
@@ -42,8 +42,10 @@
         .long("stay")
         .action(ArgAction::SetTrue)
         .conflicts_with("prompt-file")
-        .help("Only start the deployment, and keep it up until Ctrl-C");
-    let command = Command::new("demo").about("Shows a generation that survives").args([file, stay]);
+        .help("Only start the deployment, and keep it running until Ctrl-C");
+    let command = Command::new("demo")
+        .about("Shows that a generation survives the loss of its runner")
+        .args([file, stay]);
     let matches = command.get_matches();
     let prompt = match matches.get_one::<PathBuf>("prompt-file") {
         None => PROMPT.to_owned(),
@@ -56,7 +58,7 @@
         },
     };
     let programs = Programs { standin: || role("standin"), product: || role("node") };
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime needs only the usual means");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime can be built");
     let ran = match matches.get_flag("stay") {
         true => runtime.block_on(steps::stay(programs)),
         false => runtime.block_on(steps::run(programs, &prompt)),
@@ -72,8 +74,8 @@
 }
 
 fn role(role: &str) -> process::Command {
-    let program = env::current_exe().expect("the system knows the running program");
+    let program = env::current_exe().expect("the path of the running program is available");
     let mut command = process::Command::new(program);
-    command.env(ROLE, role);
+    command.env(ROLE_VARIABLE, role);
     command
 }
--- a/examples/demo/steps.rs
+++ b/examples/demo/steps.rs
@@ -1,4 +1,4 @@
-//! The demo step by step.
+//! Steps of the demo.
 
 use {
     ::http::Method,
@@ -20,7 +20,7 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// Tokens of the demo's answer.
+/// Number of tokens in the demo's answer.
 const TOKENS: u32 = 400;
 /// Tokens after which the runner is killed.
 const KILL_AT: u32 = 100;
@@ -29,31 +29,31 @@
 /// Service entry of the demo.
 const SERVICE: &str = "desk-app";
 
-/// Runs all steps and says whether every check held.
+/// Runs all steps and returns whether every check passed.
 pub(crate) async fn run(programs: Programs, prompt: &str) -> io::Result<bool> {
     let mut checks = Checks { held: true };
     let mut fleet = start(programs).await?;
     let caller = Caller::new(CALLER_KEY);
-    let addresses = both(&caller, &fleet.urls()[0]).await?;
+    let addresses = wait_for_both_nodes(&caller, &fleet.urls()[0]).await?;
     println!(
-        "addresses: {} nodes, good for {} s",
+        "addresses: {} nodes, valid for {} s",
         addresses.addresses.len(),
         addresses.ttl_seconds
     );
-    checks.check("both nodes are in the address answer", addresses.addresses.len() == 2);
+    checks.check("both nodes are in the address response", addresses.addresses.len() == 2);
     generation(&mut fleet, &caller, prompt, &mut checks).await?;
     double_post(&fleet, &caller, &mut checks).await?;
     Ok(checks.held)
 }
 
-/// Starts the deployment, says where it is, and keeps it up until Ctrl-C.
+/// Starts the deployment, prints its URLs, and keeps it running until Ctrl-C.
 pub(crate) async fn stay(programs: Programs) -> io::Result<bool> {
     let fleet = start(programs).await?;
     for node in &fleet.nodes {
         println!("{}: callers {}, operators {}", node.server.name, node.server.url, node.operators);
     }
-    println!("caller's key {CALLER_KEY}, operator's key {OPERATOR_KEY}");
-    println!("entries {ENGINE} and {SERVICE}; end with Ctrl-C");
+    println!("caller key {CALLER_KEY}, operator key {OPERATOR_KEY}");
+    println!("entries {ENGINE} and {SERVICE}; stop with Ctrl-C");
     tokio::signal::ctrl_c().await?;
     Ok(true)
 }
@@ -75,12 +75,12 @@
     Ok(fleet)
 }
 
-/// Asks a node for addresses until it knows both nodes: the instance list is read every second.
-async fn both(caller: &Caller, node: &str) -> io::Result<Addresses> {
-    /// Times to ask.
-    const ASKS: u32 = 50;
+/// Polls a node's addresses until it knows both nodes: nodes read the instance list every second.
+async fn wait_for_both_nodes(caller: &Caller, node: &str) -> io::Result<Addresses> {
+    /// Maximum number of polls.
+    const ATTEMPTS: u32 = 50;
     let mut addresses = caller.addresses(node).await?;
-    for _ in 0..ASKS {
+    for _ in 0..ATTEMPTS {
         if addresses.addresses.len() == 2 {
             break;
         }
@@ -117,15 +117,15 @@
     let (got, killed) = (got?, killed?);
     println!("killed {killed} after {KILL_AT} tokens");
     println!("answer: {} tokens, first after {:.0?}", got.events, got.first);
-    println!("longest gap between two tokens, the kill included: {:.0?}", got.gap);
+    println!("longest gap between two tokens, including the kill: {:.0?}", got.gap);
     let expected = Answer::new("v1", prompt, Sampling::Same, Some(TOKENS)).text(TOKENS);
-    checks.check("every token came once and in order", got.text == expected);
-    checks.check("the answer is whole", got.is_whole() && got.tokens == TOKENS);
+    checks.check("every token was received once and in order", got.text == expected);
+    checks.check("the answer is complete", got.is_whole() && got.tokens == TOKENS);
     checks.check("the caller never had to resume", got.resumes == 0);
     Ok(())
 }
 
-/// Posts one correction twice with one key, at two nodes at the same moment.
+/// Posts one correction twice with one key, at two nodes at the same time.
 async fn double_post(fleet: &Fleet, caller: &Caller, checks: &mut Checks) -> io::Result<()> {
     let path = format!("{SERVICE}/corrections");
     let body = br#"{"claim": 7, "correction": "the bridge opened in 1932"}"#;
@@ -139,12 +139,12 @@
     let url = format!("{}/admin/log", fleet.runners[2].url);
     let log: ServiceLog = http::get(fleet.client(), &url).await?;
     println!("the service executed {} call(s)", log.executed.len());
-    checks.check("the correction was lodged once", log.executed.len() == 1);
+    checks.check("the correction was executed once", log.executed.len() == 1);
     checks.check("both posts got the same answer", one.body == two.body);
     Ok(())
 }
 
-/// Kills the runner that is writing, and says which it was.
+/// Kills the runner that is generating, and returns its name.
 async fn kill_busy(fleet: &mut Fleet) -> io::Result<CompactString> {
     let client = fleet.client().clone();
     for runner in &mut fleet.runners {
@@ -154,10 +154,10 @@
             return Ok(runner.name.clone());
         }
     }
-    Err(io::Error::other("no runner is writing"))
+    Err(io::Error::other("no runner is generating"))
 }
 
-/// Prints checks and remembers whether all held.
+/// Prints the result of each check and records whether all passed.
 struct Checks {
     held: bool,
 }
--- a/examples/measure/caller.rs
+++ b/examples/measure/caller.rs
@@ -1,7 +1,7 @@
-//! A caller process that reads as fast as it can, so that callers aren't what is measured.
+//! Caller processes that read as fast as they can, so that the callers don't limit the throughput.
 
 use {
-    crate::deployment::{Way, open, role},
+    crate::deployment::{Endpoint, open_stream, role},
     bilberryfront_harness::http::client,
     http_body_util::BodyExt,
     serde::{Deserialize, Serialize},
@@ -18,22 +18,22 @@
     volo_http::client::Client,
 };
 
-/// Time before counting begins.
-const WARM: Duration = Duration::from_millis(1_000);
-/// End of a whole answer.
-const END: &[u8] = b"data: [DONE]\n\n";
-/// Events of an answer that carry no token: its end and `[DONE]`.
-const EXTRA: u64 = 2;
+/// Warm-up time before counting begins.
+const WARM_UP_TIME: Duration = Duration::from_millis(1_000);
+/// Last event of a complete answer.
+const END_EVENT: &[u8] = b"data: [DONE]\n\n";
+/// Number of events in an answer that carry no token: the finish event and `[DONE]`.
+const NON_TOKEN_EVENTS: u64 = 2;
 
-/// What a caller process counted.
+/// Results of a caller process.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub(crate) struct Count {
-    /// Tokens a second.
+    /// Tokens per second.
     pub(crate) rate: f64,
-    /// Answers that came whole.
+    /// Number of complete answers.
     pub(crate) whole: u64,
-    /// Answers that didn't.
+    /// Number of incomplete answers.
     pub(crate) broken: u64,
 }
 
@@ -44,9 +44,10 @@
     broken: AtomicU64,
 }
 
-/// Runs `callers` processes for the same time, one for each URL in turn, and adds up what they counted.
-pub(crate) async fn together(
-    way: Way,
+/// Runs `callers` processes concurrently for `time`, assigned to the URLs in turn, and returns the sum of
+/// their results.
+pub(crate) async fn run_callers(
+    endpoint: Endpoint,
     urls: &[String],
     callers: usize,
     streams: usize,
@@ -54,7 +55,7 @@
 ) -> io::Result<Count> {
     let start = |i: usize| {
         let mut command = role("caller");
-        command.arg(if way == Way::Node { "node" } else { "direct" });
+        command.arg(if endpoint == Endpoint::Node { "node" } else { "direct" });
         command.args([&urls[i % urls.len()], &streams.to_string(), &time.as_millis().to_string()]);
         command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()
     };
@@ -73,26 +74,32 @@
     .await?
 }
 
-/// The process itself: `caller WAY URL STREAMS MILLIS`.
+/// Runs the caller process; its arguments are `ENDPOINT URL STREAMS MILLIS`.
 pub(crate) fn main() -> ExitCode {
     let args = env::args().skip(1).collect::<Vec<_>>();
-    let way = if args[0] == "node" { Way::Node } else { Way::Direct };
-    let streams = args[2].parse().expect("the parent writes a number");
-    let time = Duration::from_millis(args[3].parse().expect("the parent writes a number"));
+    let endpoint = if args[0] == "node" { Endpoint::Node } else { Endpoint::Direct };
+    let streams = args[2].parse().expect("the parent passes a number");
+    let time = Duration::from_millis(args[3].parse().expect("the parent passes a number"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("a runtime needs only the usual means");
-    let count = runtime.block_on(count(way, &args[1], streams, time));
-    println!("{}", serde_json::to_string(&count).expect("plain data serializes"));
+    let runtime = runtime.expect("the runtime can be built");
+    let count = runtime.block_on(count(endpoint, &args[1], streams, time));
+    println!("{}", serde_json::to_string(&count).expect("the result serializes"));
     ExitCode::SUCCESS
 }
 
-async fn count(way: Way, url: &str, streams: usize, time: Duration) -> Count {
+async fn count(endpoint: Endpoint, url: &str, streams: usize, time: Duration) -> Count {
     let counters = Arc::new(Counters::default());
     let client = client();
     for i in 0..streams {
-        tokio::spawn(ask(client.clone(), way, url.to_owned(), i, counters.clone()));
+        tokio::spawn(request_answers(
+            client.clone(),
+            endpoint,
+            url.to_owned(),
+            i,
+            counters.clone(),
+        ));
     }
-    sleep(WARM).await;
+    sleep(WARM_UP_TIME).await;
     let (before, started) = (counters.tokens.load(Relaxed), Instant::now());
     sleep(time).await;
     let tokens = counters.tokens.load(Relaxed) - before;
@@ -103,26 +110,32 @@
     }
 }
 
-/// Asks for one answer after the other, for ever.
-async fn ask(client: Client, way: Way, url: String, stream: usize, counters: Arc<Counters>) {
+/// Requests one answer after another, without end.
+async fn request_answers(
+    client: Client,
+    endpoint: Endpoint,
+    url: String,
+    stream: usize,
+    counters: Arc<Counters>,
+) {
     for n in 0u64.. {
         let prompt = format!("document {stream} of {n}");
-        match read(&client, way, &url, prompt, &counters).await {
+        match read_answer(&client, endpoint, &url, prompt, &counters).await {
             Ok(true) => counters.whole.fetch_add(1, Relaxed),
             _ => counters.broken.fetch_add(1, Relaxed),
         };
     }
 }
 
-/// Reads an answer, counting its events; says whether it was whole.
-async fn read(
+/// Reads an answer and counts its tokens; returns whether it was complete.
+async fn read_answer(
     client: &Client,
-    way: Way,
+    endpoint: Endpoint,
     url: &str,
     prompt: String,
     counters: &Counters,
 ) -> io::Result<bool> {
-    let response = open(client, way, url, prompt).await.map_err(io::Error::other)?;
+    let response = open_stream(client, endpoint, url, prompt).await.map_err(io::Error::other)?;
     let mut body = response.into_body();
     let (mut last, mut tail) = (0, Vec::new());
     while let Some(frame) = body.frame().await {
@@ -134,12 +147,12 @@
             last = byte;
         }
         counters.tokens.fetch_add(ends, Relaxed);
-        tail.extend_from_slice(&data[data.len().saturating_sub(END.len())..]);
-        tail.drain(..tail.len().saturating_sub(END.len()));
+        tail.extend_from_slice(&data[data.len().saturating_sub(END_EVENT.len())..]);
+        tail.drain(..tail.len().saturating_sub(END_EVENT.len()));
     }
-    let whole = tail == END;
+    let whole = tail == END_EVENT;
     if whole {
-        counters.tokens.fetch_sub(EXTRA, Relaxed);
+        counters.tokens.fetch_sub(NON_TOKEN_EVENTS, Relaxed);
     }
     Ok(whole)
 }
--- a/examples/measure/control.rs
+++ b/examples/measure/control.rs
@@ -1,4 +1,4 @@
-//! What control costs: the slopes from which docs/CAPACITY.md works out the design size.
+//! Cost of the control functions: the figures from which docs/CAPACITY.md extrapolates to the design size.
 
 mod idle;
 mod peers;
@@ -13,9 +13,9 @@
     tokio::{runtime::Runtime, time::Instant},
 };
 
-/// Failure domains of the design size.
+/// Number of failure domains at the design size.
 const DOMAINS: usize = 9;
-/// Runners and nodes, from today's size to the design's.
+/// Runners and nodes, from the current size to the design size.
 const SIZES: [(usize, usize); 4] = [(35, 6), (300, 100), (1_500, 400), (4_900, 1_100)];
 
 pub(crate) fn run(runtime: &Runtime) -> io::Result<()> {
@@ -25,7 +25,7 @@
     runtime.block_on(idle::run())
 }
 
-/// Mean wall time of `act` in microseconds, of the best of five series.
+/// Returns the mean wall time of `act` in microseconds, from the best of five series.
 fn micros(rounds: u32, mut act: impl FnMut()) -> f64 {
     let series = |_| {
         let started = Instant::now();
@@ -35,14 +35,14 @@
     (0..5).map(series).fold(f64::INFINITY, f64::min)
 }
 
-/// Processor time of this process spent on `act`, in microseconds.
+/// Returns the processor time that this process uses for `act`, in microseconds.
 async fn spent(act: impl Future<Output = io::Result<()>>) -> io::Result<f64> {
     let before = own_cpu();
     act.await?;
     Ok((own_cpu() - before) as f64 / 1e3)
 }
 
-/// A list in the form and with the lengths of names that a platform gives.
+/// Returns an instance list with names as long as those of a real platform.
 fn list(runners: usize, nodes: usize) -> InstanceList {
     let runners = (0..runners).map(|i| instance(InstanceKind::Engine, i));
     let nodes = (0..nodes).map(|i| instance(InstanceKind::Node, i));
--- a/examples/measure/control/idle.rs
+++ b/examples/measure/control/idle.rs
@@ -1,4 +1,4 @@
-//! Real node processes at today's sizes with no requests: all that they spend is control.
+//! Node processes at current sizes without requests, so that all processor time is spent on control.
 
 use {
     crate::{
@@ -9,26 +9,30 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Nodes and runners: one node alone, Trentside's size, Arequipa's, and twice that.
+/// Nodes and runners: a single node, the size of the Trentside deployment, that of the Arequipa
+/// deployment, and the latter with twice the runners.
 const SIZES: [(usize, usize); 4] = [(1, 1), (6, 20), (6, 35), (6, 70)];
-/// Time for starting to be over.
-const SETTLE: Duration = Duration::from_secs(4);
-/// Time over which processor time is taken.
-const WATCHED: Duration = Duration::from_secs(12);
+/// Time for the processes to finish starting.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Time over which processor time is measured.
+const MEASURED_TIME: Duration = Duration::from_secs(12);
 
 pub(super) async fn run() -> io::Result<()> {
-    println!("\nnode processes with no requests, mean of all nodes, over {} s:", WATCHED.as_secs());
+    println!(
+        "\nnode processes without requests, mean of all nodes over {} s:",
+        MEASURED_TIME.as_secs()
+    );
     println!(
         "{:>6} {:>8} {:>20} {:>20} {:>14}",
         "nodes", "runners", "control, % of a core", "process, % of a core", "resident KiB"
     );
     for (nodes, runners) in SIZES {
         let fleet = start(runners, nodes, &["--token-ms", "20"]).await?;
-        sleep(SETTLE).await;
+        sleep(SETTLE_TIME).await;
         let pids = fleet.nodes.iter().map(|n| n.server.process.id()).collect::<Vec<_>>();
-        let (before, started) = (sum(&pids)?, Instant::now());
-        sleep(WATCHED).await;
-        let (after, wall) = (sum(&pids)?, started.elapsed().as_nanos() as f64);
+        let (before, started) = (total_cpu(&pids)?, Instant::now());
+        sleep(MEASURED_TIME).await;
+        let (after, wall) = (total_cpu(&pids)?, started.elapsed().as_nanos() as f64);
         let share = |spent: u64| 100.0 * spent as f64 / wall / nodes as f64;
         let memory = pids.iter().map(|&p| resident(p)).sum::<io::Result<u64>>()? / nodes as u64;
         println!(
@@ -40,8 +44,8 @@
     Ok(())
 }
 
-/// Processor time of the control threads and of the processes, in nanoseconds.
-fn sum(pids: &[u32]) -> io::Result<(u64, u64)> {
+/// Returns the processor time of the control threads and of the processes, in nanoseconds.
+fn total_cpu(pids: &[u32]) -> io::Result<(u64, u64)> {
     pids.iter().try_fold((0, 0), |(control, all), &pid| {
         let cpu = cpu(pid)?;
         Ok((control + cpu.control, all + cpu.all))
--- a/examples/measure/control/peers.rs
+++ b/examples/measure/control/peers.rs
@@ -1,4 +1,4 @@
-//! QUIC and TLS: what a message and a connection cost, both ends of it in this process.
+//! Cost of messages and connections over QUIC and TLS, with both ends in this process.
 
 use {
     super::{spent, state::heartbeat},
@@ -19,34 +19,34 @@
     },
 };
 
-/// Messages of a series.
+/// Number of messages in a series.
 const MESSAGES: u32 = 5_000;
-/// Messages of a slow series, and the time between them.
-const SLOW: (u32, Duration) = (1_000, Duration::from_millis(4));
-/// Catalogues of a series.
+/// Number of messages in a slow series, and the interval between them.
+const SLOW_SERIES: (u32, Duration) = (1_000, Duration::from_millis(4));
+/// Number of catalogues in a series.
 const CATALOGUES: u32 = 100;
-/// Connections made by one node.
+/// Number of connections opened by one node.
 const CONNECTIONS: usize = 100;
-/// Longest wait for a message; heartbeats are datagrams and may be lost.
-const WAIT: Duration = Duration::from_millis(500);
+/// Maximum wait for a message; heartbeats are datagrams and may be lost.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-type Face = (PeerNet, Receiver<Received>, Target);
+type PeerEndpoint = (PeerNet, Receiver<Received>, Target);
 
 pub(super) fn run() -> io::Result<()> {
-    // One thread, as a node has for control.
+    // A single thread, because a node runs its control functions on one.
     let runtime = Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let folder = TempDir::new()?;
         let authority = Authority::new();
-        println!("\npeers, processor time of both ends together:");
-        messages(&authority, folder.path()).await?;
-        connections(&authority, folder.path()).await
+        println!("\npeer messages, processor time of both ends together:");
+        measure_messages(&authority, folder.path()).await?;
+        measure_connections(&authority, folder.path()).await
     })
 }
 
-async fn messages(authority: &Authority, folder: &Path) -> io::Result<()> {
-    let (from, mut asked, back) = face(authority, folder, "a")?;
-    let (to, mut events, target) = face(authority, folder, "b")?;
+async fn measure_messages(authority: &Authority, folder: &Path) -> io::Result<()> {
+    let (from, mut asked, back) = start_peer(authority, folder, "a")?;
+    let (to, mut events, target) = start_peer(authority, folder, "b")?;
     let location = NodeLocation {
         domain: "east-mids-1".into(),
         url: "http://10.1.0.1:8080".into(),
@@ -57,48 +57,54 @@
         bilberryfront::peer::codec::encode(&"a".into(), &heartbeat).map_err(io::Error::other)?;
     let push = PeerMessage::CatalogPush(CatalogPush { revision: 2, doc: "x".repeat(150 << 10) });
     let target = [target];
-    exchange(&from, &mut events, &target, &PeerMessage::Revision(1), 10, Duration::ZERO).await?;
+    send_and_receive(&from, &mut events, &target, &PeerMessage::Revision(1), 10, Duration::ZERO)
+        .await?;
     let idle = spent(async {
         let start = Instant::now();
-        for n in 1..=SLOW.0 {
-            tokio::time::sleep_until(start + SLOW.1 * n).await;
+        for n in 1..=SLOW_SERIES.0 {
+            tokio::time::sleep_until(start + SLOW_SERIES.1 * n).await;
         }
         Ok(())
     });
-    let idle = idle.await? / f64::from(SLOW.0);
+    let idle = idle.await? / f64::from(SLOW_SERIES.0);
     let series = [
         ("heartbeat (datagram), one after the other", &heartbeat, MESSAGES, Duration::ZERO),
-        ("heartbeat (datagram), one each 4 ms", &heartbeat, SLOW.0, SLOW.1),
-        ("revision (own stream), one each 4 ms", &PeerMessage::Revision(1), SLOW.0, SLOW.1),
+        ("heartbeat (datagram), one per 4 ms", &heartbeat, SLOW_SERIES.0, SLOW_SERIES.1),
+        (
+            "revision (own stream), one per 4 ms",
+            &PeerMessage::Revision(1),
+            SLOW_SERIES.0,
+            SLOW_SERIES.1,
+        ),
     ];
-    println!("a heartbeat has {} bytes before QUIC", bytes.bytes.len());
+    println!("a heartbeat has {} bytes without QUIC", bytes.bytes.len());
     for (name, message, count, pause) in series {
         let mut lost = 0;
         let act = async {
-            lost = exchange(&from, &mut events, &target, message, count, pause).await?;
+            lost = send_and_receive(&from, &mut events, &target, message, count, pause).await?;
             Ok(())
         };
         let mut each = spent(act).await? / f64::from(count);
         if !pause.is_zero() {
             each -= idle;
         }
-        println!("{name}: {each:.1} µs a message, {lost} of {count} lost");
+        println!("{name}: {each:.1} µs per message, {lost} of {count} lost");
     }
     let (pull, back) = (PeerMessage::CatalogPull(2), [back]);
     let act = async {
         for _ in 0..CATALOGUES {
-            exchange(&to, &mut asked, &back, &pull, 1, Duration::ZERO).await?;
-            exchange(&from, &mut events, &target, &push, 1, Duration::ZERO).await?;
+            send_and_receive(&to, &mut asked, &back, &pull, 1, Duration::ZERO).await?;
+            send_and_receive(&from, &mut events, &target, &push, 1, Duration::ZERO).await?;
         }
         Ok(())
     };
     let each = spent(act).await? / f64::from(CATALOGUES);
-    println!("a catalogue of 150 KiB, asked for and sent: {each:.0} µs");
+    println!("a catalogue of 150 KiB, requested and sent: {each:.0} µs");
     Ok(())
 }
 
-/// Sends a message so many times, and waits for each; says how many were lost.
-async fn exchange(
+/// Sends a message `count` times and waits for each; returns how many were lost.
+async fn send_and_receive(
     from: &PeerNet,
     events: &mut Receiver<Received>,
     to: &[Target],
@@ -112,22 +118,22 @@
             sleep(pause).await;
         }
         from.send(to, message).map_err(io::Error::other)?;
-        lost += u32::from(timeout(WAIT, events.recv()).await.is_err());
+        lost += u32::from(timeout(RECEIVE_TIMEOUT, events.recv()).await.is_err());
     }
     Ok(lost)
 }
 
-async fn connections(authority: &Authority, folder: &Path) -> io::Result<()> {
-    let (from, _events, _) = face(authority, folder, "hub")?;
+async fn measure_connections(authority: &Authority, folder: &Path) -> io::Result<()> {
+    let (from, _events, _) = start_peer(authority, folder, "hub")?;
     let name = |i: usize| format_compact!("spoke-{i}");
-    let spokes = (0..CONNECTIONS).map(|i| face(authority, folder, &name(i)));
-    let mut spokes = spokes.collect::<io::Result<Vec<Face>>>()?;
+    let spokes = (0..CONNECTIONS).map(|i| start_peer(authority, folder, &name(i)));
+    let mut spokes = spokes.collect::<io::Result<Vec<PeerEndpoint>>>()?;
     let targets = spokes.iter().map(|(_, _, t)| t.clone()).collect::<Vec<_>>();
     let before = own_resident();
     let act = async {
         from.send(&targets, &PeerMessage::Revision(1)).map_err(io::Error::other)?;
         for (_, events, _) in &mut spokes {
-            events.recv().await.ok_or_else(|| io::Error::other("a peer face ended"))?;
+            events.recv().await.ok_or_else(|| io::Error::other("a peer endpoint closed"))?;
         }
         Ok(())
     };
@@ -137,7 +143,7 @@
     Ok(())
 }
 
-fn face(authority: &Authority, folder: &Path, name: &str) -> io::Result<Face> {
+fn start_peer(authority: &Authority, folder: &Path, name: &str) -> io::Result<PeerEndpoint> {
     authority.write(folder, name)?;
     let read = |file: &str| fs::read(folder.join(file));
     let config = PeerConfig {
--- a/examples/measure/control/platform.rs
+++ b/examples/measure/control/platform.rs
@@ -1,4 +1,4 @@
-//! Reading the platform and the runners over HTTP: processor time and bytes on the wire.
+//! Cost of reading the platform and the runners over HTTP: processor time and bytes transferred.
 
 use {
     super::{list, spent},
@@ -25,28 +25,28 @@
     tokio::net::{TcpListener, TcpStream},
 };
 
-/// Reads of a series.
+/// Number of reads in a series.
 const READS: u32 = 1_000;
-/// Reads through the counting relay.
-const COUNTED: u32 = 20;
-/// Longest wait for an answer.
-const WAIT: Duration = Duration::from_secs(2);
+/// Number of reads through the relay that counts bytes, and of the instance list.
+const COUNTED_READS: u32 = 20;
+/// Time-out of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(super) async fn run() -> io::Result<()> {
     println!(
-        "\nreading over HTTP, processor time of the reader alone, bytes both ways without TCP and IP:"
+        "\nreading over HTTP, processor time of the reader only, bytes in both directions without TCP and IP:"
     );
     let programs = Programs { standin: || role("standin"), product: || role("node") };
     let mut fleet = Fleet::new(programs)?;
     fleet.start("runner", "runner-0", &["--entry", ENGINE])?;
-    loads(&fleet.runners[0].url).await?;
-    head(&fleet).await?;
-    whole_list(&fleet).await
+    measure_load_reports(&fleet.runners[0].url).await?;
+    measure_catalogue_head(&fleet).await?;
+    measure_instance_list(&fleet).await
 }
 
-/// A load report over a kept connection, and over a new client and connection each time.
-async fn loads(url: &str) -> io::Result<()> {
-    let kept = Service::new(url.into(), WAIT);
+/// Measures a load report over a persistent connection, and with a new client and connection each time.
+async fn measure_load_reports(url: &str) -> io::Result<()> {
+    let kept = Service::new(url.into(), REQUEST_TIMEOUT);
     let read = async |service: &Service| -> io::Result<()> {
         service.get::<LoadReport>("/load").await.map(|_| ()).map_err(io::Error::other)
     };
@@ -60,32 +60,32 @@
     let on_kept = spent(series).await? / f64::from(READS);
     let series = async {
         for _ in 0..READS {
-            read(&Service::new(url.into(), WAIT)).await?;
+            read(&Service::new(url.into(), REQUEST_TIMEOUT)).await?;
         }
         Ok(())
     };
     let on_new = spent(series).await? / f64::from(READS);
-    let (relay, bytes) = relay(url).await?;
-    let counted = Service::new(relay, WAIT);
-    for _ in 0..COUNTED {
+    let (relay, bytes) = start_relay(url).await?;
+    let counted = Service::new(relay, REQUEST_TIMEOUT);
+    for _ in 0..COUNTED_READS {
         read(&counted).await?;
     }
-    let bytes = bytes.load(Relaxed) / u64::from(COUNTED);
+    let bytes = bytes.load(Relaxed) / u64::from(COUNTED_READS);
     println!(
-        "load report: {on_kept:.0} µs on a kept connection, {on_new:.0} µs with a new client; {bytes} bytes"
+        "load report: {on_kept:.0} µs on a persistent connection, {on_new:.0} µs with a new client; {bytes} bytes"
     );
     Ok(())
 }
 
-/// The catalogue's head, as every node polls it.
-async fn head(fleet: &Fleet) -> io::Result<()> {
+/// Measures a read of the catalogue's head revision, which every node polls.
+async fn measure_catalogue_head(fleet: &Fleet) -> io::Result<()> {
     let write = Write { key: "catalogue/head".into(), expect: None, value: Some("1".into()) };
     let commit = Commit { atomic: true, writes: vec![write] };
     post(fleet.client(), &format!("{}/commit", fleet.table.url), &commit).await?;
-    let ask = Read { keys: vec!["catalogue/head".into()] };
-    let service = Service::new(fleet.table.url.as_str().into(), WAIT);
+    let request = Read { keys: vec!["catalogue/head".into()] };
+    let service = Service::new(fleet.table.url.as_str().into(), REQUEST_TIMEOUT);
     let read = async |service: &Service| -> io::Result<()> {
-        service.post::<_, Rows>("/read", &ask).await.map(|_| ()).map_err(io::Error::other)
+        service.post::<_, Rows>("/read", &request).await.map(|_| ()).map_err(io::Error::other)
     };
     let series = async {
         for _ in 0..READS {
@@ -94,46 +94,49 @@
         Ok(())
     };
     let each = spent(series).await? / f64::from(READS);
-    let (relay, bytes) = relay(&fleet.table.url).await?;
-    let counted = Service::new(relay, WAIT);
-    for _ in 0..COUNTED {
+    let (relay, bytes) = start_relay(&fleet.table.url).await?;
+    let counted = Service::new(relay, REQUEST_TIMEOUT);
+    for _ in 0..COUNTED_READS {
         read(&counted).await?;
     }
-    println!("catalogue head: {each:.0} µs; {} bytes", bytes.load(Relaxed) / u64::from(COUNTED));
+    println!(
+        "catalogue head: {each:.0} µs; {} bytes",
+        bytes.load(Relaxed) / u64::from(COUNTED_READS)
+    );
     Ok(())
 }
 
-/// The whole instance list, parsing included.
-async fn whole_list(fleet: &Fleet) -> io::Result<()> {
-    let service = Service::new(fleet.list.url.as_str().into(), WAIT);
-    let mut had = 1;
+/// Measures a read of the complete instance list, including parsing.
+async fn measure_instance_list(fleet: &Fleet) -> io::Result<()> {
+    let service = Service::new(fleet.list.url.as_str().into(), REQUEST_TIMEOUT);
+    let mut listed = 1;
     for (runners, nodes) in super::SIZES {
         let list = list(runners, nodes);
         for instance in &list.instances {
             let url = format!("{}/instances/{}", fleet.list.url, instance.name);
             post(fleet.client(), &url, instance).await?;
         }
-        had = had.max(list.instances.len());
+        listed = listed.max(list.instances.len());
         let series = async {
-            for _ in 0..COUNTED {
+            for _ in 0..COUNTED_READS {
                 instances::read(&service).await.map_err(io::Error::other)?;
             }
             Ok(())
         };
-        let each = spent(series).await? / f64::from(COUNTED);
-        let (relay, bytes) = relay(&fleet.list.url).await?;
-        let counted = Service::new(relay, WAIT);
-        for _ in 0..COUNTED {
+        let each = spent(series).await? / f64::from(COUNTED_READS);
+        let (relay, bytes) = start_relay(&fleet.list.url).await?;
+        let counted = Service::new(relay, REQUEST_TIMEOUT);
+        for _ in 0..COUNTED_READS {
             instances::read(&counted).await.map_err(io::Error::other)?;
         }
-        let bytes = bytes.load(Relaxed) / u64::from(COUNTED);
-        println!("instance list of {had}: {each:.0} µs; {bytes} bytes");
+        let bytes = bytes.load(Relaxed) / u64::from(COUNTED_READS);
+        println!("instance list of {listed}: {each:.0} µs; {bytes} bytes");
     }
     Ok(())
 }
 
-/// Stands between a reader and `url`, and counts the bytes that go through, both ways.
-async fn relay(url: &str) -> io::Result<(CompactString, Arc<AtomicU64>)> {
+/// Starts a relay to `url` that counts the bytes transferred in both directions.
+async fn start_relay(url: &str) -> io::Result<(CompactString, Arc<AtomicU64>)> {
     let to: SocketAddr = url.trim_start_matches("http://").parse().map_err(io::Error::other)?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -141,22 +144,22 @@
     let counter = bytes.clone();
     tokio::spawn(async move {
         while let Ok((near, _)) = listener.accept().await {
-            tokio::spawn(pass(near, to, counter.clone()));
+            tokio::spawn(forward(near, to, counter.clone()));
         }
     });
     Ok((format_compact!("http://{address}"), bytes))
 }
 
-async fn pass(near: TcpStream, to: SocketAddr, counter: Arc<AtomicU64>) -> io::Result<()> {
+async fn forward(near: TcpStream, to: SocketAddr, counter: Arc<AtomicU64>) -> io::Result<()> {
     let far = TcpStream::connect(to).await?;
     let (near_in, near_out) = near.into_split();
     let (far_in, far_out) = far.into_split();
-    let back = tokio::spawn(copy(far_in, near_out, counter.clone()));
-    copy(near_in, far_out, counter).await?;
+    let back = tokio::spawn(copy_counted(far_in, near_out, counter.clone()));
+    copy_counted(near_in, far_out, counter).await?;
     back.await?
 }
 
-async fn copy(
+async fn copy_counted(
     from: tokio::net::tcp::OwnedReadHalf,
     to: tokio::net::tcp::OwnedWriteHalf,
     counter: Arc<AtomicU64>,
--- a/examples/measure/control/state.rs
+++ b/examples/measure/control/state.rs
@@ -1,4 +1,4 @@
-//! Work and memory of one node's own state: the list, the view, the catalogue, the members.
+//! Processing time and memory of one node's state: instance list, view, catalogue and members.
 
 use {
     super::{DOMAINS, SIZES, list, micros},
@@ -23,36 +23,36 @@
     tokio::time::Instant,
 };
 
-/// Accounts of a catalogue, today's, the design's and more.
+/// Number of accounts in a catalogue, from the current number to the design's (750) and beyond.
 const ACCOUNTS: [usize; 4] = [10, 100, 750, 3_000];
-/// Models of the design size.
+/// Number of models at the design size.
 const ENTRIES: usize = 3;
 
 pub(super) fn run() {
-    // Memory comes first, as later parts reuse what earlier ones have freed.
+    // Memory is measured first, because later parts reuse memory that earlier ones have freed.
     println!("state of one node, KiB resident:");
-    memory();
+    measure_memory();
     println!("\ninstance list:");
-    lists();
-    println!("\ncatalogue of {ENTRIES} entries, each account at each:");
-    catalogues();
-    println!("\nview, what one publication costs the control thread (there are 40 a second):");
-    views();
+    measure_lists();
+    println!("\ncatalogue of {ENTRIES} entries, each with every account:");
+    measure_catalogues();
+    println!("\nview, cost of one publication on the control thread (40 per second):");
+    measure_views();
 }
 
-fn memory() {
+fn measure_memory() {
     let list = list(4_900, 1_100);
     let before = own_resident();
     let core = core(&list);
-    let cored = own_resident();
+    let with_core = own_resident();
     let members = members(&list);
     let after = own_resident();
-    println!("core, 4900 runners, 1100 nodes, 750 accounts, no reports: {}", cored - before);
-    println!("members, 1100 nodes: {}", after - cored);
+    println!("core, 4900 runners, 1100 nodes, 750 accounts, no reports: {}", with_core - before);
+    println!("members, 1100 nodes: {}", after - with_core);
     black_box((core, members));
 }
 
-fn lists() {
+fn measure_lists() {
     println!(
         "{:>8} {:>6} {:>10} {:>10} {:>10} {:>12}",
         "runners", "nodes", "bytes", "parse µs", "core µs", "members µs"
@@ -61,19 +61,22 @@
         let list = list(runners, nodes);
         let text = serde_json::to_vec(&list).expect("wire types always serialize");
         let parse = micros(20, || {
-            black_box(serde_json::from_slice::<InstanceList>(&text).expect("it was just written"));
+            black_box(
+                serde_json::from_slice::<InstanceList>(&text)
+                    .expect("the text was just serialized"),
+            );
         });
         let (mut core, mut members, now) = (core(&list), members(&list), Instant::now());
         let step = micros(20, || {
             core.step(now, Event::Instances(list.clone()), &mut Vec::new());
         });
-        let told = micros(20, || members.apply_list(now, &list));
+        let applied = micros(20, || members.apply_list(now, &list));
         let bytes = text.len();
-        println!("{runners:>8} {nodes:>6} {bytes:>10} {parse:>10.0} {step:>10.0} {told:>12.0}");
+        println!("{runners:>8} {nodes:>6} {bytes:>10} {parse:>10.0} {step:>10.0} {applied:>12.0}");
     }
 }
 
-fn catalogues() {
+fn measure_catalogues() {
     println!(
         "{:>8} {:>10} {:>10} {:>10} {:>10}",
         "accounts", "KiB JSON", "read µs", "check µs", "renew µs"
@@ -82,7 +85,9 @@
         let doc = doc(accounts);
         let text = serde_json::to_string(&doc).expect("a catalogue always serializes");
         let read = micros(10, || {
-            black_box(serde_json::from_str::<CatalogDoc>(&text).expect("it was just written"));
+            black_box(
+                serde_json::from_str::<CatalogDoc>(&text).expect("the text was just serialized"),
+            );
         });
         let check = micros(10, || _ = black_box(doc.check()));
         let old = Catalog::default().updated(1, &doc);
@@ -92,7 +97,7 @@
     }
 }
 
-fn views() {
+fn measure_views() {
     println!(
         "{:>8} {:>6} {:>10} {:>10} {:>10} {:>10} {:>14}",
         "runners", "nodes", "tick µs", "usage µs", "core µs", "peers µs", "address bytes"
@@ -101,10 +106,10 @@
         let list = list(runners, nodes);
         let (mut core, members, published) = (core(&list), members(&list), Published::default());
         published.set_core(&core);
-        let tick = micros(50, || members_tick(&members, &published));
+        let tick = micros(50, || publish_members(&members, &published));
         let usage = micros(50, || published.set_usage(core.usage()));
         let whole = micros(50, || published.set_core(&core));
-        let peers = micros(50, || peers_tick(&members, &mut core));
+        let peers = micros(50, || send_peers_to_core(&members, &mut core));
         let addresses = published.load().addresses.clone();
         let answer = Addresses { addresses, ttl_seconds: 10 };
         let bytes = serde_json::to_vec(&answer).expect("wire types always serialize").len();
@@ -115,15 +120,15 @@
     }
 }
 
-/// What the membership publishes at each tick.
-fn members_tick(members: &Members, published: &Published) {
+/// Publishes the members, as the membership does at each tick.
+fn publish_members(members: &Members, published: &Published) {
     let addresses = members.addresses().into_iter();
     let addresses = addresses.map(|a| NodeAddress { url: a.url, domain: a.domain }).collect();
     published.set_members(addresses, members.nodes().collect(), DrainState::Serving);
 }
 
-/// What the membership tells the core at each tick.
-fn peers_tick(members: &Members, core: &mut Core) {
+/// Sends the usage of the peers to the core, as the membership does at each tick.
+fn send_peers_to_core(members: &Members, core: &mut Core) {
     let now = Instant::now();
     let (usage, catalog) = (members.usage(now), core.catalog().clone());
     let keyed =
@@ -141,7 +146,7 @@
     core
 }
 
-/// The members as one node knows them once it has heard of all.
+/// Returns the members as one node knows them after it has learned of all.
 fn members(list: &InstanceList) -> Members {
     let now = Instant::now();
     let nodes = list.instances.iter().filter(|i| i.kind == InstanceKind::Node);
@@ -160,7 +165,7 @@
         location: Some(location(i)),
     });
     let claims = claims.collect::<Vec<_>>();
-    let first = nodes.clone().next().expect("each size has nodes");
+    let first = nodes.clone().next().expect("every size has nodes");
     let me = Me { name: first.name.clone(), life: life(0), location: location(first) };
     let mut members = Members::new(1, now, me);
     members.apply_list(now, list);
@@ -174,7 +179,7 @@
     members
 }
 
-/// A heartbeat as it is at rest.
+/// Returns a heartbeat as a node sends it while the membership doesn't change.
 pub(super) fn heartbeat(
     n: usize,
     location: bilberryfront_decide::member::message::NodeLocation,
--- a/examples/measure/deployment.rs
+++ b/examples/measure/deployment.rs
@@ -1,7 +1,7 @@
-//! Deployments to measure, each process a copy of this program.
+//! Deployments to measure; each process is a copy of this program.
 
 use {
-    crate::ROLE,
+    crate::ROLE_VARIABLE,
     bilberryfront_harness::fleet::{CALLER_KEY, Fleet, Programs, catalog},
     bilberryfront_wire::{completion::CompletionRequest, runner::Generate},
     serde_json::json,
@@ -9,30 +9,30 @@
     volo_http::{body::Body, client::Client, error::client::ClientError, response::Response},
 };
 
-/// Engine entry.
+/// Catalogue entry of the engine.
 pub(crate) const ENGINE: &str = "verify-llm";
-/// Service entry.
+/// Catalogue entry of the service.
 pub(crate) const SERVICE: &str = "desk-app";
 
-/// What is asked: a node, or a runner without one.
+/// Endpoint that receives the requests: a node, or a runner directly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Endpoint {
     /// The runner stand-in.
     Direct,
-    /// A node before runner stand-ins.
+    /// A node in front of runner stand-ins.
     Node,
 }
 
-/// A copy of this program in another role.
+/// Returns a command that starts a copy of this program in another role.
 pub(crate) fn role(role: &str) -> process::Command {
-    let program = env::current_exe().expect("the system knows the running program");
+    let program = env::current_exe().expect("the path of the running program is available");
     let mut command = process::Command::new(program);
-    command.env(ROLE, role);
+    command.env(ROLE_VARIABLE, role);
     command
 }
 
-/// Starts runners, with `args` added to their command lines, and nodes, and waits until these are ready.
-/// The limits are so wide that only what is measured bounds it.
+/// Starts runners, with `args` added to their command lines, and nodes, and waits until all are ready.
+/// The catalogue's limits are high enough not to affect the measurements.
 pub(crate) async fn start(runners: usize, nodes: usize, args: &[&str]) -> io::Result<Fleet> {
     let programs = Programs { standin: || role("standin"), product: || role("node") };
     let mut fleet = Fleet::new(programs)?;
@@ -53,16 +53,16 @@
     Ok(fleet)
 }
 
-/// Begins a generation and returns the answer's head with the body to come.
-pub(crate) async fn open(
+/// Starts a generation and returns the response, whose body is not read yet.
+pub(crate) async fn open_stream(
     client: &Client,
-    way: Way,
+    endpoint: Endpoint,
     url: &str,
     prompt: String,
 ) -> Result<Response, ClientError> {
-    let (path, body) = match way {
-        Way::Direct => ("generate", serde_json::to_vec(&generate(prompt))),
-        Way::Node => ("v1/completions", serde_json::to_vec(&completion(prompt))),
+    let (path, body) = match endpoint {
+        Endpoint::Direct => ("generate", serde_json::to_vec(&generate(prompt))),
+        Endpoint::Node => ("v1/completions", serde_json::to_vec(&completion(prompt))),
     };
     let body = body.expect("wire types always serialize");
     let bearer = format!("Bearer {CALLER_KEY}");
--- a/examples/measure/main.rs
+++ b/examples/measure/main.rs
@@ -1,7 +1,8 @@
-//! Measures what a node adds, carries, holds and spends, beside the stand-ins asked directly.
+//! Measures a node's added latency, throughput, memory and processor time, compared with direct
+//! requests to the runner stand-ins.
 //!
 //! `cargo run --release --example measure [-- SECTION...]`, sections: `speed`, `memory`, `decision`,
-//! `control`; all by default. Figures depend on what else the machine does, so each section prints
+//! `control`; all by default. The figures depend on other load on the machine, so each section prints
 //! the load average before and after.
 
 mod caller;
@@ -18,13 +19,13 @@
     std::{env, io, process::ExitCode},
 };
 
-/// Tells a copy of this program which part to play.
-const ROLE: &str = "BILBERRYFRONT_MEASURE_ROLE";
+/// Environment variable that selects the role of a copy of this program.
+const ROLE_VARIABLE: &str = "BILBERRYFRONT_MEASURE_ROLE";
 /// All sections, in the order in which they run.
 const SECTIONS: [&str; 4] = ["speed", "memory", "decision", "control"];
 
 fn main() -> ExitCode {
-    match env::var(ROLE).as_deref() {
+    match env::var(ROLE_VARIABLE).as_deref() {
         Ok("standin") => bilberryfront_standins::main(),
         Ok("node") => bilberryfront::command::main(),
         Ok("caller") => caller::main(),
@@ -38,12 +39,12 @@
         .value_name("SECTION")
         .action(ArgAction::Append)
         .value_parser(SECTIONS)
-        .help("What to measure; all by default");
+        .help("Section to measure; all by default");
     let matches = Command::new("measure").about("Measures a node").arg(section).get_matches();
     let asked = matches.get_many::<String>("section").into_iter().flatten().collect::<Vec<_>>();
     let wanted = |s: &&str| asked.is_empty() || asked.iter().any(|a| a == s);
     for section in SECTIONS.iter().copied().filter(wanted) {
-        // A process each: memory that one section has freed would hide what the next one takes.
+        // Each section runs in its own process: memory that one has freed would hide what the next uses.
         let status = deployment::role("section").arg(section).status();
         if !status.is_ok_and(|s| s.success()) {
             return ExitCode::FAILURE;
--- a/examples/measure/speed.rs
+++ b/examples/measure/speed.rs
@@ -1,9 +1,9 @@
-//! Time that a node adds, and tokens a second through one.
+//! Latency that a node adds, and its throughput in tokens per second.
 
 use {
     crate::{
-        caller::together,
-        deployment::{Way, open, start},
+        caller::run_callers,
+        deployment::{Endpoint, open_stream, start},
         process::{cpu, load},
     },
     bilberryfront_harness::{fleet::Fleet, http::client},
@@ -15,26 +15,26 @@
     volo_http::client::{Client, sse::SseReader},
 };
 
-/// Streams open at once when times are measured.
+/// Number of concurrent streams in the latency measurement.
 const STREAMS: usize = 200;
-/// Answers that each stream reads, one after the other.
+/// Number of answers that each stream reads, one after the other.
 const ANSWERS: usize = 4;
-/// Tokens of an answer.
+/// Number of tokens in an answer.
 const TOKENS: u32 = 75;
-/// Streams begin this long apart, so that the first tokens don't come as one burst.
-const APART: Duration = Duration::from_millis(10);
-/// Rounds of each measurement; the best is what the machine's other work disturbed least.
+/// Interval between the starts of streams, so that the first tokens don't arrive in one burst.
+const START_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of rounds of each measurement; the best round is the one least disturbed by other load.
 const ROUNDS: usize = 3;
-/// Runner processes.
+/// Number of runner processes.
 const RUNNERS: usize = 4;
-/// Caller processes.
+/// Number of caller processes.
 const CALLERS: usize = 4;
-/// Streams of each caller process.
+/// Number of streams of each caller process.
 const CALLER_STREAMS: usize = 32;
 /// Time for which tokens are counted.
-const COUNTED: Duration = Duration::from_secs(4);
+const COUNTING_TIME: Duration = Duration::from_secs(4);
 
-/// Times in microseconds.
+/// Time to the first token and between tokens, in microseconds.
 struct Times {
     first: Histogram<u64>,
     between: Histogram<u64>,
@@ -50,15 +50,15 @@
     let args = ["--token-ms", "20", "--answer-tokens", &tokens, "--slots", "64"];
     let fleet = start(RUNNERS, 1, &args).await?;
     println!(
-        "{STREAMS} streams of {ANSWERS} answers of {TOKENS} tokens, 20 ms a token, {RUNNERS} runners, one node; ms"
+        "{STREAMS} streams of {ANSWERS} answers of {TOKENS} tokens, 20 ms per token, {RUNNERS} runners, one node; ms"
     );
     println!("{:22} {:>9} {:>9} {:>11} {:>11}", "", "first p50", "first p99", "between p50", "p99");
     for round in 1..=ROUNDS {
-        let direct = times(Way::Direct, &runners(&fleet)).await?;
-        let node = times(Way::Node, &fleet.urls()).await?;
+        let direct = measure_times(Endpoint::Direct, &runners(&fleet)).await?;
+        let node = measure_times(Endpoint::Node, &fleet.urls()).await?;
         println!("round {round}, load average {}", load());
-        line("  direct", &direct);
-        line("  through the node", &node);
+        print_row("  direct", &direct);
+        print_row("  through the node", &node);
         let added = |q: f64, of: fn(&Times) -> &Histogram<u64>| {
             millis(of(&node), q) - millis(of(&direct), q)
         };
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-fn line(name: &str, times: &Times) {
+fn print_row(name: &str, times: &Times) {
     println!(
         "{name:22} {:>9.3} {:>9.3} {:>11.3} {:>11.3}",
         millis(&times.first, 0.5),
@@ -84,7 +84,7 @@
     );
 }
 
-/// A quantile in milliseconds.
+/// Returns a quantile in milliseconds.
 fn millis(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1e3
 }
@@ -93,11 +93,11 @@
     fleet.runners.iter().map(|r| r.url.clone()).collect()
 }
 
-async fn times(way: Way, urls: &[String]) -> io::Result<Times> {
+async fn measure_times(endpoint: Endpoint, urls: &[String]) -> io::Result<Times> {
     let client = client();
     let one = |i: usize| {
         let (client, url) = (client.clone(), urls[i % urls.len()].clone());
-        async move { tokio::spawn(stream(client, way, url, i)).await? }
+        async move { tokio::spawn(read_answers(client, endpoint, url, i)).await? }
     };
     let mut all = Times { first: histogram(), between: histogram() };
     for times in try_join_all((0..STREAMS).map(one)).await? {
@@ -107,25 +107,31 @@
     Ok(all)
 }
 
-async fn stream(client: Client, way: Way, url: String, i: usize) -> io::Result<Times> {
+async fn read_answers(
+    client: Client,
+    endpoint: Endpoint,
+    url: String,
+    i: usize,
+) -> io::Result<Times> {
     let mut times = Times { first: histogram(), between: histogram() };
-    sleep(APART * i as u32).await;
+    sleep(START_INTERVAL * i as u32).await;
     for answer in 0..ANSWERS {
-        read(&client, way, &url, format!("document {i} of {answer}"), &mut times).await?;
+        read_answer(&client, endpoint, &url, format!("document {i} of {answer}"), &mut times)
+            .await?;
     }
     Ok(times)
 }
 
-/// Reads one answer.
-async fn read(
+/// Reads one answer and records its times; fails if it has another number of events than expected.
+async fn read_answer(
     client: &Client,
-    way: Way,
+    endpoint: Endpoint,
     url: &str,
     prompt: String,
     times: &mut Times,
 ) -> io::Result<()> {
     let mut last = Instant::now();
-    let response = open(client, way, url, prompt).await;
+    let response = open_stream(client, endpoint, url, prompt).await;
     let response = response.map_err(io::Error::other)?;
     let mut reader = SseReader::into_sse(response).map_err(io::Error::other)?;
     let mut count = 0;
@@ -142,10 +148,12 @@
         let histogram = if count == 1 { &mut times.first } else { &mut times.between };
         histogram.saturating_record(since);
     }
-    // The last event before `[DONE]` says why the answer ended.
+    // The last event before `[DONE]` has the finish reason and no token.
     match count == TOKENS + 1 {
         true => Ok(()),
-        false => Err(io::Error::other(format!("an answer ended after {count} events"))),
+        false => Err(io::Error::other(format!(
+            "an answer ended after {count} events, expected {TOKENS} tokens and a finish event"
+        ))),
     }
 }
 
@@ -163,14 +171,17 @@
     );
     for round in 1..=ROUNDS {
         let runners = runners(&fleet);
-        let direct = together(Way::Direct, &runners, CALLERS, CALLER_STREAMS, COUNTED).await?;
+        let direct =
+            run_callers(Endpoint::Direct, &runners, CALLERS, CALLER_STREAMS, COUNTING_TIME).await?;
         let (before, started) = (cpu(pid)?, Instant::now());
-        let node = together(Way::Node, &fleet.urls(), CALLERS, CALLER_STREAMS, COUNTED).await?;
+        let node =
+            run_callers(Endpoint::Node, &fleet.urls(), CALLERS, CALLER_STREAMS, COUNTING_TIME)
+                .await?;
         let (after, wall) = (cpu(pid)?, started.elapsed());
         let cores = (after.all - before.all) as f64 / wall.as_nanos() as f64;
         println!(
-            "round {round}, load average {}: direct {:.0} tokens/s ({} answers whole, {} not), through \
-             the node {:.0} tokens/s ({} whole, {} not), node {cores:.2} cores",
+            "round {round}, load average {}: direct {:.0} tokens/s ({} answers complete, {} not), through \
+             the node {:.0} tokens/s ({} complete, {} not), node {cores:.2} cores",
             load(),
             direct.rate,
             direct.whole,
--- a/examples/standin.rs
+++ b/examples/standin.rs
@@ -1,4 +1,4 @@
-//! A stand-in as a program: `cargo run --example standin -- runner --listen 127.0.0.1:0`.
+//! Runs a stand-in as a process: `cargo run --example standin -- runner --listen 127.0.0.1:0`.
 
 use std::process::ExitCode;
 
