--- a/tests/relay_process.rs
+++ b/tests/relay_process.rs
@@ -387,8 +387,8 @@
             child.kill();
             if let Some(line_count) = line_count {
                 let lines = line_count.join().unwrap();
-                // The log limits: 100 lines per second for normal operation and 200 for failures. The
-                // rest allows for the lines that report dropped lines and for the startup.
+                // The log limits the rate to 100 lines per second below level `warn` and 200 at or
+                // above it. The rest allows for reports of dropped lines and for the startup.
                 assert!(lines < 200 + seconds * 310, "{lines} lines in {seconds} s");
             }
             drop(unread_stdout);
