--- a/crates/relay/src/runner_client.rs
+++ b/crates/relay/src/runner_client.rs
@@ -141,7 +141,7 @@
         if !head.signed || !head.is_for(&call.head.id) {
             let status = parts.status.as_u16();
             log::warn!(request = call.head.id.as_str(), runner = endpoint.id.as_str(), status;
-                "connection closed: response not signed or for another request");
+                "response unsigned or for another request: connection closed");
             return SendOutcome::Lost(SendError::Disconnected);
         }
         headers::strip(&mut parts.headers);
--- a/src/logs/budget.rs
+++ b/src/logs/budget.rs
@@ -85,7 +85,7 @@
         DROPPED.fetch_add(u64::from(!is_allowed), Ordering::Relaxed);
         if left_out > 0 {
             // This line passes this filter again, in the new window; the lock has been released by now.
-            log::warn!(left_out; "log lines were dropped by the rate limit");
+            log::warn!(left_out; "log lines were left out");
         }
         if is_allowed { FilterResult::Neutral } else { FilterResult::Reject }
     }
